--- a/crates/testing/emulator/examples/chain_throughput.rs
+++ b/crates/testing/emulator/examples/chain_throughput.rs
@@ -1,7 +1,7 @@
-//! What one chain of three core members carries: adds to budgets' counters, at a given number of programs.
+//! Measures the throughput of one chain of three core members: budget lease requests, at a given number of programs.
 //!
-//! Each member has a thread of its own, its control state and its file; messages are encoded as between processes,
-//! but pass through channels instead of sockets. Every member keeps a number of adds under way.
+//! Each member has its own thread, control state and file. Messages are encoded as between processes, but pass through
+//! channels instead of sockets. Every member keeps a number of requests ("adds") under way.
 //!
 //! `cargo run --release -p dunespur-emulator --example chain_throughput -- PROGRAMS ADDS UNDER_WAY [gateways]`
 
@@ -22,26 +22,28 @@
 
 const MEMBERS: usize = 3;
 const DEFAULT_GATEWAYS: u64 = 40;
-/// Units that an add asks for, and units of a program.
+/// Units that an add requests.
 const UNITS: u64 = 100;
+/// Budget of a program, in units.
 const BUDGET: u64 = 1 << 40;
-/// Limiters of one program.
-const LIMITERS_OF_PROGRAM: u64 = 4;
+/// Number of limiters of one program.
+const LIMITERS_PER_PROGRAM: u64 = 4;
 
-/// What a member's thread receives.
-enum Arrival {
-    /// An encoded message of another member.
+/// An event that a member's thread receives.
+enum ThreadEvent {
+    /// An encoded message from another member arrived.
     Message { from: MemberId, bytes: Vec<u8> },
-    /// A batch is on the disk.
+    /// A batch of writes is on the disk.
     Persisted { batch: u64 },
 }
 
-/// One sync.
+/// Writes that are synced to the disk together.
 struct Batch {
     number: u64,
     writes: Vec<Write>,
 }
 
+/// Load of a run: number of programs, adds of all members, adds under way at each member, and gateways.
 #[derive(Clone, Copy)]
 struct Load {
     programs: u64,
@@ -50,9 +52,9 @@
     gateways: u64,
 }
 
-/// A member with all that it needs.
+/// A member with its state, its connections to disk and peers, and its counters.
 struct Runner {
-    /// Processor time of the disk's thread in nanoseconds.
+    /// Processor time of the disk's thread, in nanoseconds.
     disk_used: Arc<AtomicU64>,
     number: usize,
     peers: Vec<Peer>,
@@ -60,8 +62,8 @@
     state: ControlState,
     applied: u64,
     disk: Sender<Batch>,
-    senders: Vec<Sender<Arrival>>,
-    began: Instant,
+    senders: Vec<Sender<ThreadEvent>>,
+    started: Instant,
     load: Load,
     submitted: u64,
     answered: u64,
@@ -75,7 +77,7 @@
 
 impl Runner {
     fn now(&self) -> u64 {
-        u64::try_from(self.began.elapsed().as_millis()).unwrap_or(u64::MAX) + 1
+        u64::try_from(self.started.elapsed().as_millis()).unwrap_or(u64::MAX) + 1
     }
 
     fn step(&mut self, input: Input) {
@@ -85,12 +87,12 @@
             let now = self.now();
             self.member.step(input, now, &mut outputs);
             for output in outputs.drain(..) {
-                self.carry_out(output, &mut inputs);
+                self.execute(output, &mut inputs);
             }
         }
     }
 
-    fn carry_out(&mut self, output: Output, inputs: &mut VecDeque<Input>) {
+    fn execute(&mut self, output: Output, inputs: &mut VecDeque<Input>) {
         match output {
             Output::Send { to, message } => self.send(&to, &message),
             Output::Persist { batch, writes } => {
@@ -105,7 +107,8 @@
                 payload,
                 ticket,
             } => {
-                let operation: Operation = postcard::from_bytes(&payload).expect("an operation");
+                let operation: Operation =
+                    postcard::from_bytes(&payload).expect("decoding an operation");
                 self.state.apply(&operation, &mut Vec::new());
                 self.applied = index;
                 if ticket.is_some() {
@@ -117,9 +120,9 @@
                 self.answered += 1;
             }
             Output::TakeSnapshot => {
-                let began = Instant::now();
+                let started = Instant::now();
                 let bytes = self.state.snapshot();
-                self.snapshot_time += began.elapsed();
+                self.snapshot_time += started.elapsed();
                 self.snapshots += 1;
                 self.snapshot_bytes = bytes.len();
                 inputs.push_back(Input::SnapshotTaken {
@@ -128,7 +131,8 @@
                 });
             }
             Output::InstallSnapshot { index, bytes } => {
-                self.state = ControlState::restore(&bytes).expect("a control state");
+                self.state = ControlState::restore(&bytes)
+                    .expect("restoring the control state from a snapshot");
                 self.applied = index;
             }
             Output::SendToAddress { .. }
@@ -138,22 +142,22 @@
     }
 
     fn send(&mut self, to: &Peer, message: &Message) {
-        let bytes = postcard::to_stdvec(message).expect("a message can be written");
+        let bytes = postcard::to_stdvec(message).expect("encoding a message");
         self.sent_bytes += bytes.len() as u64;
         let from = self.peers[self.number].id.clone();
         let index = self
             .peers
             .iter()
             .position(|peer| peer.id == to.id)
-            .expect("a member");
-        let _ = self.senders[index].send(Arrival::Message { from, bytes });
+            .expect("the receiver of a message is a member");
+        let _ = self.senders[index].send(ThreadEvent::Message { from, bytes });
     }
 
     fn submit(&mut self) {
         let serial = self.submitted * MEMBERS as u64 + self.number as u64;
         let program = serial % self.load.programs;
         let turn = serial / self.load.programs;
-        let gateway = (program + turn % LIMITERS_OF_PROGRAM) % self.load.gateways;
+        let gateway = (program + turn % LIMITERS_PER_PROGRAM) % self.load.gateways;
         let request = CounterRequest {
             program: format!("program-{program:012}"),
             budget: BUDGET,
@@ -172,32 +176,33 @@
         };
         self.submitted += 1;
         let payload =
-            postcard::to_stdvec(&Operation::Budget(request)).expect("an operation can be written");
+            postcard::to_stdvec(&Operation::Budget(request)).expect("encoding an operation");
         self.step(Input::Submit {
             ticket: self.submitted,
             payload,
         });
     }
 
-    /// Works until `adds` more of this member's adds are answered.
-    fn work(&mut self, adds: u64, queue: &Receiver<Arrival>) {
+    /// Submits adds until `adds` more of this member's adds are answered.
+    fn submit_adds(&mut self, adds: u64, queue: &Receiver<ThreadEvent>) {
         let end = self.answered + adds;
         while self.answered < end {
-            let wanted = (self.answered + self.load.under_way).min(end);
-            while self.submitted < wanted {
+            let target = (self.answered + self.load.under_way).min(end);
+            while self.submitted < target {
                 self.submit();
             }
             self.wait(queue);
         }
     }
 
-    fn wait(&mut self, queue: &Receiver<Arrival>) {
-        let due = self.member.next_tick().saturating_sub(self.now()).min(20);
-        match queue.recv_timeout(Duration::from_millis(due)) {
+    /// Handles the events of the queue; waits for the first one until the member's next tick, 20 ms at most.
+    fn wait(&mut self, queue: &Receiver<ThreadEvent>) {
+        let timeout_ms = self.member.next_tick().saturating_sub(self.now()).min(20);
+        match queue.recv_timeout(Duration::from_millis(timeout_ms)) {
             Ok(first) => {
-                self.take(first);
+                self.handle(first);
                 while let Ok(next) = queue.try_recv() {
-                    self.take(next);
+                    self.handle(next);
                 }
             }
             Err(RecvTimeoutError::Timeout) => {}
@@ -208,27 +213,33 @@
         }
     }
 
-    fn take(&mut self, arrival: Arrival) {
-        match arrival {
-            Arrival::Message { from, bytes } => {
-                let message: Message = postcard::from_bytes(&bytes).expect("a message");
+    fn handle(&mut self, event: ThreadEvent) {
+        match event {
+            ThreadEvent::Message { from, bytes } => {
+                let message: Message = postcard::from_bytes(&bytes).expect("decoding a message");
                 self.step(Input::Received { from, message });
             }
-            Arrival::Persisted { batch } => self.step(Input::Persisted { batch }),
+            ThreadEvent::Persisted { batch } => self.step(Input::Persisted { batch }),
         }
     }
 }
 
-/// Writes batches as a member's disk thread does; its processor time is added up in `used`, in nanoseconds.
-fn disk_thread(disk: CoreDisk, queue: Receiver<Batch>, answers: Sender<Arrival>, used: &AtomicU64) {
+/// Writes batches as a member's disk thread does, and stores the thread's processor time in `used`, in nanoseconds.
+fn disk_thread(
+    disk: CoreDisk,
+    queue: Receiver<Batch>,
+    answers: Sender<ThreadEvent>,
+    used: &AtomicU64,
+) {
     while let Ok(batch) = queue.recv() {
-        disk.write(&batch.writes).expect("the disk takes it");
+        disk.write(&batch.writes)
+            .expect("writing a batch to the disk");
         used.store(
             u64::try_from(processor_time().as_nanos()).unwrap_or(u64::MAX),
             Ordering::Relaxed,
         );
         if answers
-            .send(Arrival::Persisted {
+            .send(ThreadEvent::Persisted {
                 batch: batch.number,
             })
             .is_err()
@@ -254,7 +265,7 @@
         .filter_map(|text| text.parse().ok())
         .collect();
     let [programs, adds, under_way, rest @ ..] = arguments.as_slice() else {
-        eprintln!("PROGRAMS ADDS UNDER_WAY [GATEWAYS]");
+        eprintln!("usage: chain_throughput PROGRAMS ADDS UNDER_WAY [GATEWAYS]");
         return;
     };
     let gateways = rest.first().copied().unwrap_or(DEFAULT_GATEWAYS);
@@ -269,13 +280,13 @@
 
 fn run(load: Load) {
     let folder = std::env::temp_dir().join(format!("chain-throughput-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("creating the temporary folder");
     let paths: Vec<PathBuf> = (0..MEMBERS)
         .map(|number| folder.join(format!("{number}.redb")))
         .collect();
     let disks: Vec<_> = paths
         .iter()
-        .map(|path| CoreDisk::open(path).expect("a file"))
+        .map(|path| CoreDisk::open(path).expect("opening a member's file"))
         .collect();
     let peers: Vec<Peer> = (0..MEMBERS)
         .map(|number| Peer {
@@ -292,11 +303,11 @@
         members: peers.clone(),
         chain,
     };
-    let channels: Vec<(Sender<Arrival>, Receiver<Arrival>)> =
+    let channels: Vec<(Sender<ThreadEvent>, Receiver<ThreadEvent>)> =
         (0..MEMBERS).map(|_| channel()).collect();
     let senders: Vec<_> = channels.iter().map(|(sender, _)| sender.clone()).collect();
     let queues = channels.into_iter().map(|(_, queue)| queue);
-    let began = Instant::now();
+    let started = Instant::now();
     let filled = Arc::new(Barrier::new(MEMBERS));
     let finished = Arc::new(Barrier::new(MEMBERS));
     let threads: Vec<_> = queues
@@ -323,7 +334,7 @@
                 applied: 0,
                 disk: batches,
                 senders: senders.clone(),
-                began,
+                started,
                 load,
                 submitted: 0,
                 answered: 0,
@@ -341,7 +352,7 @@
         .collect();
     drop(senders);
     for thread in threads {
-        thread.join().expect("a member's thread");
+        thread.join().expect("joining a member's thread");
     }
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let peak = status
@@ -352,8 +363,8 @@
     let _ = std::fs::remove_dir_all(&folder);
 }
 
-/// Serves the chain until all members have arrived here, as others may still need this one.
-fn serve_until_all(runner: &mut Runner, queue: &Receiver<Arrival>, barrier: &Arc<Barrier>) {
+/// Serves the chain until all members have reached the barrier, as the other members may still need this one.
+fn serve_until_barrier(runner: &mut Runner, queue: &Receiver<ThreadEvent>, barrier: &Arc<Barrier>) {
     let reached = Arc::new(AtomicBool::new(false));
     let waiter = {
         let (barrier, reached) = (barrier.clone(), reached.clone());
@@ -365,12 +376,14 @@
     while !reached.load(Ordering::Relaxed) {
         runner.wait(queue);
     }
-    waiter.join().expect("the waiter");
+    waiter
+        .join()
+        .expect("joining the thread that waits at the barrier");
 }
 
 fn member_thread(
     mut runner: Runner,
-    queue: Receiver<Arrival>,
+    queue: Receiver<ThreadEvent>,
     view: View,
     path: &std::path::Path,
     filled: &Arc<Barrier>,
@@ -382,34 +395,34 @@
     while !runner.member.is_up_to_date(runner.now()) {
         runner.wait(&queue);
     }
-    runner.work(runner.load.programs.div_ceil(MEMBERS as u64), &queue);
-    serve_until_all(&mut runner, &queue, filled);
-    let (began, used_before) = (Instant::now(), processor_time());
+    runner.submit_adds(runner.load.programs.div_ceil(MEMBERS as u64), &queue);
+    serve_until_barrier(&mut runner, &queue, filled);
+    let (started, used_before) = (Instant::now(), processor_time());
     let disk_before = runner.disk_used.load(Ordering::Relaxed);
     let (batches, bytes, snapshots) = (runner.batches, runner.sent_bytes, runner.snapshots);
     runner.snapshot_time = Duration::ZERO;
     let adds = runner.load.adds / MEMBERS as u64;
-    runner.work(adds, &queue);
-    let own_time = began.elapsed();
-    serve_until_all(&mut runner, &queue, finished);
-    let took = began.elapsed();
+    runner.submit_adds(adds, &queue);
+    let own_time = started.elapsed();
+    serve_until_barrier(&mut runner, &queue, finished);
+    let took = started.elapsed();
     let used = processor_time() - used_before;
     let disk_used = Duration::from_nanos(runner.disk_used.load(Ordering::Relaxed) - disk_before);
-    let all = (adds * MEMBERS as u64) as f64;
+    let total_adds = (adds * MEMBERS as u64) as f64;
     let file = std::fs::metadata(path).map_or(0, |metadata| metadata.len());
     println!(
         "member {}: {} programs, {} adds in {:.2} s (own {:.2} s): {:.0}/s; processor {:.1} us an add + {:.1} us for the disk; \
          {:.1} adds a sync; sent {:.0} B an add; {} snapshots of {:.2} MB, {:.1} ms each; file {:.1} MB; dropped {}; view {}",
         runner.number,
         runner.state.counters().programs(),
-        all,
+        total_adds,
         took.as_secs_f64(),
         own_time.as_secs_f64(),
-        all / took.as_secs_f64(),
-        used.as_secs_f64() * 1e6 / all,
-        disk_used.as_secs_f64() * 1e6 / all,
-        all / (runner.batches - batches).max(1) as f64,
-        (runner.sent_bytes - bytes) as f64 / all,
+        total_adds / took.as_secs_f64(),
+        used.as_secs_f64() * 1e6 / total_adds,
+        disk_used.as_secs_f64() * 1e6 / total_adds,
+        total_adds / (runner.batches - batches).max(1) as f64,
+        (runner.sent_bytes - bytes) as f64 / total_adds,
         runner.snapshots - snapshots,
         runner.snapshot_bytes as f64 / 1e6,
         runner.snapshot_time.as_secs_f64() * 1e3 / (runner.snapshots - snapshots).max(1) as f64,
--- a/crates/testing/emulator/examples/control_followers.rs
+++ b/crates/testing/emulator/examples/control_followers.rs
@@ -1,8 +1,9 @@
-//! What following the control state costs a core member: a real system of three core members, and many simulated
-//! gateways in this process that follow one of them by the watch of real ones, and renew a lease each.
+//! Measures what followers of the control state cost a core member. A real system of three core members runs; many
+//! simulated gateways in this process follow one of the members by the same watch requests as real gateways, and each
+//! renews a lease.
 //!
-//! Each number of followers is measured while they pass on heartbeats of the known servers, and while servers come and
-//! depart besides; every follower is notified of each.
+//! Each number of followers is measured twice: while they pass on heartbeats of the registered servers, and while
+//! servers also register and leave, of which every follower is notified.
 //!
 //! `cargo run --release -p dunespur-emulator --example control_followers -- PROGRAM SECONDS SERVERS FOLLOWERS...`
 
@@ -21,27 +22,27 @@
 
 const CORE_MEMBERS: usize = 3;
 const HEARTBEAT_MS: u64 = 1_200;
-const READY_LIMIT: Duration = Duration::from_secs(20);
-/// Followers come up over this time before anything is measured.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time for the followers to start before the measurement.
 const WARM_UP: Duration = Duration::from_secs(2);
-const CALL_LIMIT: Duration = Duration::from_millis(2_000);
-/// Servers that are made known at once.
-const REGISTERED_AT_ONCE: u64 = 64;
-/// How often an idle watch is answered within a heartbeat interval.
-const WATCHES_A_HEARTBEAT: usize = 3;
-/// Pause between two servers that come or go.
+const CALL_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Number of servers that are registered concurrently.
+const CONCURRENT_REGISTRATIONS: u64 = 64;
+/// Number of times that an idle watch is answered within a heartbeat interval.
+const WATCHES_PER_HEARTBEAT: usize = 3;
+/// Interval between two registrations or departures of servers.
 const CHURN_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What the followers saw.
+/// Counters of all followers.
 #[derive(Default)]
-struct Counted {
+struct FollowerCounters {
     answers: Cell<u64>,
     changes: Cell<u64>,
     bytes: Cell<u64>,
     failures: Cell<u64>,
 }
 
-/// What each follower stands for.
+/// Number of followers, and of servers whose heartbeats they pass on.
 #[derive(Clone, Copy)]
 struct Load {
     followers: usize,
@@ -69,10 +70,10 @@
     program: PathBuf,
     span: Duration,
     servers: u64,
-    numbers: Vec<usize>,
+    follower_counts: Vec<usize>,
 ) -> anyhow::Result<()> {
     println!("{servers} servers\nfollowers | changes/s | processor of the member, thousandths of a core | peak kB | answers/s | B/s a follower | failures");
-    for number in numbers {
+    for followers in follower_counts {
         let machines = (0..CORE_MEMBERS)
             .map(|_| MachinePlan::new(Role::Core, "a"))
             .collect();
@@ -85,22 +86,13 @@
         let mut system = System::start(plan)?;
         let internal = internal_addresses(&mut system).await?;
         register(internal[0], servers).await;
-        measure(
-            &system,
-            &internal,
-            Load {
-                followers: number,
-                servers,
-            },
-            span,
-        )
-        .await;
+        measure(&system, &internal, Load { followers, servers }, span).await;
     }
     Ok(())
 }
 
-/// Internal ports of the members, once a view stands. Settings name `control` ports as seeds; the internal port is
-/// the first of the range.
+/// Internal addresses of the members, once a view contains all of them. The seeds in the settings are `control`
+/// addresses; the internal port is the first port of the range.
 async fn internal_addresses(system: &mut System) -> anyhow::Result<Vec<SocketAddr>> {
     let text = std::fs::read_to_string(system.machine(0).settings_path())?;
     let settings: serde_json::Value = serde_json::from_str(&text)?;
@@ -108,7 +100,7 @@
     let port = u16::try_from(port)?;
     let first = SocketAddr::new(system.machine(0).ip(), port);
     let client = Client::new(first);
-    let until = Instant::now() + READY_LIMIT;
+    let deadline = Instant::now() + READY_TIMEOUT;
     loop {
         if let Some(Reply::View(Some(view))) = call(&client, &Request::QueryView).await {
             if view.members.len() == CORE_MEMBERS {
@@ -116,8 +108,8 @@
             }
         }
         anyhow::ensure!(
-            Instant::now() < until,
-            "no view of all members\n{}",
+            Instant::now() < deadline,
+            "no view contains all members within {READY_TIMEOUT:?}\n{}",
             system.log_tails()
         );
         sleep(Duration::from_millis(50)).await;
@@ -125,15 +117,15 @@
 }
 
 async fn call(client: &Rc<Client>, request: &Request) -> Option<Reply> {
-    let bytes = client.call(encode(request), CALL_LIMIT).await.ok()?;
+    let bytes = client.call(encode(request), CALL_TIMEOUT).await.ok()?;
     decode(&bytes)
 }
 
-/// Makes servers known to the core.
+/// Registers servers with the core.
 async fn register(member: SocketAddr, servers: u64) {
     let client = Client::new(member);
-    for first in (0..servers).step_by(REGISTERED_AT_ONCE as usize) {
-        let calls = (first..servers.min(first + REGISTERED_AT_ONCE)).map(|number| {
+    for first in (0..servers).step_by(CONCURRENT_REGISTRATIONS as usize) {
+        let calls = (first..servers.min(first + CONCURRENT_REGISTRATIONS)).map(|number| {
             let client = client.clone();
             spawn_local(async move {
                 let request = Request::Execute(Operation::Server(report(server_id(number))));
@@ -155,19 +147,19 @@
 async fn measure(system: &System, internal: &[SocketAddr], load: Load, span: Duration) {
     let number = load.followers;
     let member = internal[0];
-    let counted = Rc::new(Counted::default());
+    let counters = Rc::new(FollowerCounters::default());
     let followers: Vec<JoinHandle<()>> = (0..number)
-        .map(|which| spawn_local(follow(member, which, load, counted.clone())))
+        .map(|which| spawn_local(follow(member, which, load, counters.clone())))
         .collect();
     sleep(WARM_UP).await;
-    measure_span(system, member, number, span, &counted, "heartbeats alone").await;
+    measure_span(system, member, number, span, &counters, "heartbeats alone").await;
     let churn = spawn_local(churn(member));
     measure_span(
         system,
         member,
         number,
         span,
-        &counted,
+        &counters,
         "heartbeats, servers come and go",
     )
     .await;
@@ -182,25 +174,25 @@
     member: SocketAddr,
     number: usize,
     span: Duration,
-    counted: &Counted,
+    counters: &FollowerCounters,
     label: &str,
 ) {
-    let (answers, changes) = (counted.answers.get(), counted.changes.get());
-    let (bytes, failures) = (counted.bytes.get(), counted.failures.get());
-    let began = Instant::now();
+    let (answers, changes) = (counters.answers.get(), counters.changes.get());
+    let (bytes, failures) = (counters.bytes.get(), counters.failures.get());
+    let started = Instant::now();
     let before = usage(system, member);
     sleep(span).await;
-    let took = began.elapsed().as_secs_f64();
+    let took = started.elapsed().as_secs_f64();
     let used = usage(system, member).since(before);
     let processor_share = used.processor_ms as f64 / took;
     let per_follower = number.max(1) as f64;
     println!(
         "{number} | {:.1} ({label}) | {processor_share:.1} | {} | {:.0} | {:.0} | {}",
-        (counted.changes.get() - changes) as f64 / took / per_follower,
+        (counters.changes.get() - changes) as f64 / took / per_follower,
         used.peak_memory_kb,
-        (counted.answers.get() - answers) as f64 / took,
-        (counted.bytes.get() - bytes) as f64 / took / per_follower,
-        counted.failures.get() - failures,
+        (counters.answers.get() - answers) as f64 / took,
+        (counters.bytes.get() - bytes) as f64 / took / per_follower,
+        counters.failures.get() - failures,
     );
 }
 
@@ -212,56 +204,56 @@
     machine.map(|machine| machine.usage()).unwrap_or_default()
 }
 
-/// The watch of a gateway.
-async fn follow(member: SocketAddr, which: usize, load: Load, counted: Rc<Counted>) {
+/// Follows the control state as a gateway does.
+async fn follow(member: SocketAddr, which: usize, load: Load, counters: Rc<FollowerCounters>) {
     let client = Client::new(member);
     let lease = NodeLease {
         name: format!("simulated-{which}"),
         incarnation: 1,
     };
-    let (mut after, mut view) = (None, 0);
+    let (mut last_index, mut view) = (None, 0);
     let watched: Vec<String> = (which as u64..load.servers)
         .step_by(load.followers)
         .map(server_id)
         .collect();
-    let third = watched.len().div_ceil(WATCHES_A_HEARTBEAT).max(1);
-    // All at first: a server that was registered long ago and not heard of since would lapse.
-    let mut batches = std::iter::once(watched.as_slice()).chain(watched.chunks(third).cycle());
+    let batch_size = watched.len().div_ceil(WATCHES_PER_HEARTBEAT).max(1);
+    // The first batch contains all servers, as servers that were registered long ago would lapse without a heartbeat.
+    let mut batches = std::iter::once(watched.as_slice()).chain(watched.chunks(batch_size).cycle());
     loop {
-        let beating = batches.next().unwrap_or_default();
+        let renewed_servers = batches.next().unwrap_or_default();
         let renewals = LeaseRenewals {
-            servers: beating.to_vec(),
+            servers: renewed_servers.to_vec(),
             nodes: vec![lease.clone()],
         };
         let request = encode(&Request::Watch(WatchRequest {
-            after,
+            after: last_index,
             view,
             renewals,
         }));
         let request_bytes = request.len();
-        let Ok(bytes) = client.call(request, CALL_LIMIT).await else {
-            counted.failures.set(counted.failures.get() + 1);
+        let Ok(bytes) = client.call(request, CALL_TIMEOUT).await else {
+            counters.failures.set(counters.failures.get() + 1);
             sleep(CHURN_INTERVAL).await;
             continue;
         };
         let Some(Reply::StateUpdate(update)) = decode::<Reply>(&bytes) else {
-            counted.failures.set(counted.failures.get() + 1);
+            counters.failures.set(counters.failures.get() + 1);
             sleep(CHURN_INTERVAL).await;
             continue;
         };
-        counted.answers.set(counted.answers.get() + 1);
-        counted
+        counters.answers.set(counters.answers.get() + 1);
+        counters
             .changes
-            .set(counted.changes.get() + update.changes.len() as u64);
-        counted
+            .set(counters.changes.get() + update.changes.len() as u64);
+        counters
             .bytes
-            .set(counted.bytes.get() + (request_bytes + bytes.len()) as u64);
-        after = Some(update.index);
+            .set(counters.bytes.get() + (request_bytes + bytes.len()) as u64);
+        last_index = Some(update.index);
         view = update.view.map_or(view, |newer| newer.number);
     }
 }
 
-/// Servers that come and go by operations at the core.
+/// Registers servers and lets them leave, by operations at the core.
 async fn churn(member: SocketAddr) {
     let client = Client::new(member);
     for number in 0u64.. {
--- a/crates/testing/emulator/tests/batch.rs
+++ b/crates/testing/emulator/tests/batch.rs
@@ -1,4 +1,4 @@
-//! The batch and the memory of a model server.
+//! Tests of the batch and the KV memory of a model server.
 
 use dunespur_emulator::engine::{Batch, Memory, Prompt, PromptSegment, StepParameters, Ticket};
 
@@ -14,16 +14,22 @@
     }
 }
 
-fn batch(slots: usize, queue: usize, memory: u64) -> Batch {
-    Batch::new(StepParameters::default(), slots, queue, Memory::new(memory))
+fn batch(slots: usize, queue_capacity: usize, memory_tokens: u64) -> Batch {
+    Batch::new(
+        StepParameters::default(),
+        slots,
+        queue_capacity,
+        Memory::new(memory_tokens),
+    )
 }
 
-/// Steps until the batch is idle; the order in which requests ended, and how long it took.
-fn run(batch: &mut Batch) -> (Vec<Ticket>, u64) {
+/// Runs steps until the batch is idle; returns the requests in the order in which they ended, and the duration of all
+/// steps in microseconds.
+fn run_until_idle(batch: &mut Batch) -> (Vec<Ticket>, u64) {
     let mut ended = Vec::new();
-    let mut took = 0;
+    let mut total_us = 0;
     while let Some(duration) = batch.begin_step() {
-        took += duration;
+        total_us += duration;
         ended.extend(
             batch
                 .finish_step()
@@ -31,9 +37,12 @@
                 .filter(|token| token.last)
                 .map(|token| token.ticket),
         );
-        assert!(took < 60_000_000, "the batch does not come to an end");
+        assert!(
+            total_us < 60_000_000,
+            "the batch is not idle after {total_us} us of steps"
+        );
     }
-    (ended, took)
+    (ended, total_us)
 }
 
 #[test]
@@ -43,18 +52,18 @@
     batch
         .enqueue(prompt(&[shared, segment(2, 100)], 5, 5))
         .unwrap();
-    let (_, first) = run(&mut batch);
+    let (_, first_us) = run_until_idle(&mut batch);
     assert_eq!(batch.prompt_tokens_prefilled(), 1_100);
     batch
         .enqueue(prompt(&[shared, segment(3, 50)], 5, 5))
         .unwrap();
-    let (_, second) = run(&mut batch);
+    let (_, second_us) = run_until_idle(&mut batch);
     assert_eq!(batch.prompt_tokens_prefilled(), 1_150);
-    assert!(second < first);
+    assert!(second_us < first_us);
 }
 
 #[test]
-fn a_cached_segment_counts_only_behind_cached_ones() {
+fn a_cached_segment_counts_only_if_all_segments_before_it_are_cached() {
     let mut memory = Memory::new(1_000);
     memory.reserve(&[segment(1, 100), segment(2, 100)]).unwrap();
     assert_eq!(
@@ -94,35 +103,35 @@
 }
 
 #[test]
-fn what_does_not_fit_is_refused_and_leaves_no_trace() {
+fn a_request_that_does_not_fit_is_rejected_and_reserves_no_memory() {
     let mut batch = batch(1, 1, 1_000);
     assert!(batch.enqueue(prompt(&[segment(1, 990)], 20, 5)).is_err());
     batch.enqueue(prompt(&[segment(1, 10)], 5, 5)).unwrap();
     batch.enqueue(prompt(&[segment(2, 10)], 5, 5)).unwrap();
     assert!(batch.enqueue(prompt(&[segment(3, 10)], 5, 5)).is_err());
-    run(&mut batch);
+    run_until_idle(&mut batch);
     assert_eq!(batch.memory().in_use(), 0);
 }
 
 #[test]
-fn the_more_urgent_go_first_and_make_others_give_way() {
+fn an_urgent_request_preempts_a_less_urgent_one() {
     let mut batch = batch(1, 4, 1_000);
     let ordinary = batch.enqueue(prompt(&[segment(1, 10)], 50, 5)).unwrap();
     batch.begin_step();
     batch.finish_step();
     let urgent = batch.enqueue(prompt(&[segment(2, 10)], 5, 0)).unwrap();
-    let (ended, _) = run(&mut batch);
+    let (ended, _) = run_until_idle(&mut batch);
     assert_eq!(ended, [urgent, ordinary]);
     assert_eq!(batch.preemptions(), 1);
 }
 
 #[test]
-fn memory_that_runs_out_makes_the_newest_give_way_and_all_end() {
+fn when_memory_runs_out_newer_requests_are_preempted_and_all_requests_end() {
     let mut batch = batch(3, 3, 400);
     let tickets: Vec<Ticket> = (1..=3)
         .map(|id| batch.enqueue(prompt(&[segment(id, 100)], 90, 5)).unwrap())
         .collect();
-    let (ended, _) = run(&mut batch);
+    let (ended, _) = run_until_idle(&mut batch);
     assert!(batch.preemptions() > 0);
     assert_eq!(ended.len(), 3);
     assert_eq!(ended[0], tickets[0]);
@@ -130,7 +139,7 @@
 }
 
 #[test]
-fn those_that_leave_give_everything_back() {
+fn cancelled_requests_release_their_memory() {
     let mut batch = batch(2, 2, 10_000);
     let running = batch.enqueue(prompt(&[segment(1, 5_000)], 50, 5)).unwrap();
     batch.begin_step();
@@ -146,9 +155,9 @@
     );
 }
 
-/// Random requests, cancellations and steps: all requests end, and no memory is in use afterwards.
+/// After random requests, cancellations and steps, all requests end and no memory remains in use.
 #[test]
-fn random_batches_come_to_rest() {
+fn random_batches_become_idle() {
     for seed in 0..200 {
         let mut random = fastrand::Rng::with_seed(seed);
         let mut batch = batch(
@@ -164,8 +173,8 @@
                         .map(|_| random.u64(0..8))
                         .map(|id| segment(id, 20 + id))
                         .collect();
-                    let prompt_of_request = prompt(&segments, random.u64(1..60), random.u8(0..10));
-                    tickets.extend(batch.enqueue(prompt_of_request));
+                    let request_prompt = prompt(&segments, random.u64(1..60), random.u8(0..10));
+                    tickets.extend(batch.enqueue(request_prompt));
                 }
                 1 if !tickets.is_empty() => {
                     batch.cancel(tickets.swap_remove(random.usize(..tickets.len())))
@@ -177,7 +186,7 @@
                 }
             }
         }
-        run(&mut batch);
+        run_until_idle(&mut batch);
         assert_eq!((batch.running(), batch.waiting()), (0, 0), "seed {seed}");
         assert_eq!(batch.memory().in_use(), 0, "seed {seed}");
     }
--- a/crates/testing/emulator/tests/judge.rs
+++ b/crates/testing/emulator/tests/judge.rs
@@ -1,4 +1,4 @@
-//! The judge finds each broken rule in a record that keeps all others.
+//! Tests of the judge: each rule is reported when a record breaks it, and no other rule is.
 
 use bytes::Bytes;
 use dunespur_emulator::client::Kind;
@@ -34,7 +34,7 @@
     }
 }
 
-/// One request as its server and its client saw it.
+/// One request as its servers and its client observed it.
 struct Exchange {
     observations: Vec<Observation>,
     attempt: AttemptRecord,
@@ -152,7 +152,8 @@
     record
 }
 
-fn broken(exchanges: Vec<Exchange>) -> Vec<Rule> {
+/// The rules that a record of these exchanges breaks, sorted and without duplicates.
+fn broken_rules(exchanges: Vec<Exchange>) -> Vec<Rule> {
     let mut rules: Vec<Rule> = judge(&record_of(exchanges), &settings())
         .into_iter()
         .map(|violation| violation.rule)
@@ -162,32 +163,32 @@
     rules
 }
 
-/// The rules broken once an honest exchange is changed so.
-fn changed(change: impl FnOnce(&mut Exchange)) -> Vec<Rule> {
+/// The rules that a record of one correct exchange breaks after `change`.
+fn broken_rules_after(change: impl FnOnce(&mut Exchange)) -> Vec<Rule> {
     let mut changed = exchange(1, "/record/x", "tools");
     change(&mut changed);
-    broken(vec![changed])
+    broken_rules(vec![changed])
 }
 
-fn answer_of(exchange: &mut Exchange) -> &mut Answered {
+fn answered_mut(exchange: &mut Exchange) -> &mut Answered {
     match &mut exchange.attempt.outcome {
         AttemptOutcome::Answered(answered) => answered,
         other => panic!("{other:?}"),
     }
 }
 
-/// The system's own refusal.
-fn refuse(exchange: &mut Exchange, status: u16) {
-    let mut refusal = answered(exchange.attempt.request.0, status, b"");
-    refusal.stamp = None;
-    exchange.attempt.outcome = AttemptOutcome::Answered(refusal);
+/// Replaces the response by a rejection of the system itself, which has no server's stamp.
+fn reject(exchange: &mut Exchange, status: u16) {
+    let mut rejection = answered(exchange.attempt.request.0, status, b"");
+    rejection.stamp = None;
+    exchange.attempt.outcome = AttemptOutcome::Answered(rejection);
 }
 
 #[test]
-fn honest_exchanges_break_nothing() {
-    assert_eq!(changed(|_| {}), []);
+fn correct_exchanges_break_no_rule() {
+    assert_eq!(broken_rules_after(|_| {}), []);
     assert_eq!(
-        broken(vec![
+        broken_rules(vec![
             turn(1, None),
             turn(2, Some(1)),
             exchange(3, "/lookup/x", "tools")
@@ -195,115 +196,133 @@
         []
     );
     assert_eq!(
-        changed(|it| it.attempt.outcome = AttemptOutcome::Closed),
+        broken_rules_after(|it| it.attempt.outcome = AttemptOutcome::Closed),
         []
     );
     assert_eq!(
-        changed(|it| it.attempt.outcome = AttemptOutcome::GivenUp),
+        broken_rules_after(|it| it.attempt.outcome = AttemptOutcome::GivenUp),
         []
     );
 }
 
 #[test]
-fn an_answer_that_is_not_the_servers_is_mixed() {
+fn a_response_that_no_server_sent_breaks_mixed() {
     let mixed = [Rule::Mixed];
-    assert_eq!(changed(|it| answer_of(it).stamp = None), mixed);
     assert_eq!(
-        changed(|it| answer_of(it).stamp = Some("another".to_owned())),
+        broken_rules_after(|it| answered_mut(it).stamp = None),
         mixed
     );
     assert_eq!(
-        changed(|it| answer_of(it).digest = Digest::of(b"answe")),
+        broken_rules_after(|it| answered_mut(it).stamp = Some("another".to_owned())),
         mixed
     );
     assert_eq!(
-        changed(|it| answer_of(it).request = Some(RequestId(9))),
+        broken_rules_after(|it| answered_mut(it).digest = Digest::of(b"answe")),
         mixed
     );
     assert_eq!(
-        changed(|it| answer_of(it).encoding = Some("gzip".to_owned())),
+        broken_rules_after(|it| answered_mut(it).request = Some(RequestId(9))),
         mixed
     );
-    assert_eq!(changed(|it| answer_of(it).surplus = 1), mixed);
-    assert_eq!(changed(|it| answer_of(it).status = 201), mixed);
-    assert_eq!(changed(|it| answer_of(it).status = 502), mixed);
-    assert_eq!(changed(|it| it.observations[0].status = Some(500)), mixed);
-    assert_eq!(changed(|it| it.observations[0].complete = false), mixed);
     assert_eq!(
-        changed(|it| it.attempt.outcome = AttemptOutcome::Garbled("x".to_owned())),
+        broken_rules_after(|it| answered_mut(it).encoding = Some("gzip".to_owned())),
+        mixed
+    );
+    assert_eq!(broken_rules_after(|it| answered_mut(it).surplus = 1), mixed);
+    assert_eq!(
+        broken_rules_after(|it| answered_mut(it).status = 201),
+        mixed
+    );
+    assert_eq!(
+        broken_rules_after(|it| answered_mut(it).status = 502),
+        mixed
+    );
+    assert_eq!(
+        broken_rules_after(|it| it.observations[0].status = Some(500)),
+        mixed
+    );
+    assert_eq!(
+        broken_rules_after(|it| it.observations[0].complete = false),
+        mixed
+    );
+    assert_eq!(
+        broken_rules_after(|it| it.attempt.outcome = AttemptOutcome::Garbled("x".to_owned())),
         mixed
     );
 }
 
 #[test]
-fn a_request_that_no_client_sent_is_unasked() {
+fn a_request_that_no_client_sent_breaks_unasked() {
     let unasked = [Rule::Unasked];
     assert_eq!(
-        changed(|it| it.observations[0].digest = Digest::of(b"aske")),
+        broken_rules_after(|it| it.observations[0].digest = Digest::of(b"aske")),
         unasked
     );
     assert_eq!(
-        changed(|it| it.observations[0].method = "PUT".to_owned()),
+        broken_rules_after(|it| it.observations[0].method = "PUT".to_owned()),
         unasked
     );
     assert_eq!(
-        changed(|it| it.observations[0].target = "/record/x?y".to_owned()),
+        broken_rules_after(|it| it.observations[0].target = "/record/x?y".to_owned()),
         unasked
     );
     let unknown = |it: &mut Exchange| {
         it.observations
             .push(observation(7, "/record/x", "tools", b"asked"))
     };
-    assert_eq!(changed(unknown), unasked);
-    let invented = turn(2, Some(77));
-    assert_eq!(broken(vec![invented]), unasked);
+    assert_eq!(broken_rules_after(unknown), unasked);
+    let unknown_previous = turn(2, Some(77));
+    assert_eq!(broken_rules(vec![unknown_previous]), unasked);
 }
 
 #[test]
-fn what_may_run_once_and_ran_twice_is_twice() {
-    let again = |it: &mut Exchange| {
+fn a_request_that_may_run_once_and_ran_twice_breaks_twice() {
+    let run_twice = |it: &mut Exchange| {
         let mut second = it.observations[0].clone();
         second.instance = "i-other".to_owned();
         it.observations.push(second);
     };
-    assert_eq!(changed(again), [Rule::Twice]);
+    assert_eq!(broken_rules_after(run_twice), [Rule::Twice]);
     let mut lookup = exchange(1, "/lookup/x", "tools");
-    again(&mut lookup);
-    assert_eq!(broken(vec![lookup]), []);
+    run_twice(&mut lookup);
+    assert_eq!(broken_rules(vec![lookup]), []);
     let mut second_attempt = exchange(2, "/record/x", "tools");
     second_attempt.attempt.operation = 1;
     let mut first_attempt = exchange(1, "/record/x", "tools");
     first_attempt.attempt.outcome = AttemptOutcome::Closed;
-    assert_eq!(broken(vec![first_attempt, second_attempt]), [Rule::Twice]);
+    assert_eq!(
+        broken_rules(vec![first_attempt, second_attempt]),
+        [Rule::Twice]
+    );
 }
 
 #[test]
-fn a_rejected_request_that_ran_is_refused() {
+fn a_rejected_request_that_ran_breaks_refused() {
     for status in [402, 408, 421, 429, 503] {
         assert_eq!(
-            changed(|it| refuse(it, status)),
+            broken_rules_after(|it| reject(it, status)),
             [Rule::Refused],
             "{status}"
         );
         let rejected = |it: &mut Exchange| {
-            refuse(it, status);
+            reject(it, status);
             it.observations[0].fate = Fate::Rejected;
         };
-        assert_eq!(changed(rejected), [], "{status}");
+        assert_eq!(broken_rules_after(rejected), [], "{status}");
     }
-    assert_eq!(changed(|it| refuse(it, 502)), []);
+    assert_eq!(broken_rules_after(|it| reject(it, 502)), []);
 }
 
 #[test]
-fn a_service_that_no_route_leads_to_is_route() {
+fn a_run_at_a_service_that_no_route_leads_to_breaks_route() {
     assert_eq!(
-        changed(|it| it.observations[0].backend = "models".to_owned()),
+        broken_rules_after(|it| it.observations[0].backend = "models".to_owned()),
         [Rule::Route]
     );
 }
 
 #[test]
-fn more_servers_than_the_route_allows_is_budget() {
+fn runs_on_more_servers_than_the_route_allows_break_budget() {
     let over_limit = |id: u64| {
         let mut lookup = exchange(id, "/lookup/x", "tools");
         let mut second = lookup.observations[0].clone();
@@ -311,97 +330,118 @@
         lookup.observations.push(second);
         lookup
     };
-    assert_eq!(broken((1..=3).map(over_limit).collect()), []);
-    assert_eq!(broken((1..=4).map(over_limit).collect()), [Rule::Budget]);
+    assert_eq!(broken_rules((1..=3).map(over_limit).collect()), []);
+    assert_eq!(
+        broken_rules((1..=4).map(over_limit).collect()),
+        [Rule::Budget]
+    );
 }
 
 #[test]
-fn proper_requests_denied_beyond_a_few_are_denied() {
+fn too_many_denials_of_valid_requests_break_denied() {
     let denied = |count: u64| {
         let deny = |id| {
             let mut it = exchange(id, "/record/x", "tools");
-            refuse(&mut it, 400);
+            reject(&mut it, 400);
             it.observations.clear();
             it
         };
-        broken((1..=count).map(deny).collect())
+        broken_rules((1..=count).map(deny).collect())
     };
     assert_eq!(denied(5), []);
     assert_eq!(denied(6), [Rule::Denied]);
 }
 
 #[test]
-fn a_stream_out_of_order_is_order() {
-    let streamed = |change: fn(&mut Vec<Event>)| {
+fn a_stream_with_wrong_events_breaks_order() {
+    let rules_after = |change: fn(&mut Vec<Event>)| {
         let mut turn = turn(1, None);
-        change(&mut answer_of(&mut turn).events);
-        broken(vec![turn])
+        change(&mut answered_mut(&mut turn).events);
+        broken_rules(vec![turn])
     };
-    assert_eq!(streamed(|_| {}), []);
-    assert_eq!(streamed(|events| events.swap(1, 2)), [Rule::Order]);
-    assert_eq!(streamed(|events| drop(events.remove(1))), [Rule::Order]);
-    assert_eq!(streamed(|events| events[1].data.push('!')), [Rule::Order]);
+    assert_eq!(rules_after(|_| {}), []);
+    assert_eq!(rules_after(|events| events.swap(1, 2)), [Rule::Order]);
+    assert_eq!(rules_after(|events| drop(events.remove(1))), [Rule::Order]);
+    assert_eq!(
+        rules_after(|events| events[1].data.push('!')),
+        [Rule::Order]
+    );
     let mut garbled = turn(1, None);
-    answer_of(&mut garbled).garbled_events = 1;
-    assert_eq!(broken(vec![garbled]), [Rule::Order]);
+    answered_mut(&mut garbled).garbled_events = 1;
+    assert_eq!(broken_rules(vec![garbled]), [Rule::Order]);
     let mut truncated = turn(1, None);
-    let mut beginning = answer_of(&mut truncated).clone();
+    let mut beginning = answered_mut(&mut truncated).clone();
     beginning.events.truncate(2);
     truncated.attempt.outcome = AttemptOutcome::BrokenOff(beginning.clone());
     truncated.observations[0].complete = false;
-    assert_eq!(broken(vec![truncated]), []);
+    assert_eq!(broken_rules(vec![truncated]), []);
     let mut short = turn(1, None);
     beginning.digest = Digest::of(b"two events");
     short.attempt.outcome = AttemptOutcome::Answered(beginning);
-    assert_eq!(broken(vec![short]), [Rule::Mixed]);
+    assert_eq!(broken_rules(vec![short]), [Rule::Mixed]);
 }
 
 #[test]
-fn tokens_beyond_budget_and_one_turn_are_budget() {
-    let turns = |count: u64| broken((1..=count).map(|id| turn(id, None)).collect());
-    assert_eq!(turns(9), [], "108 tokens of 100 and 12");
-    assert_eq!(turns(10), [Rule::Budget], "120 tokens of 100 and 12");
+fn tokens_beyond_the_budget_and_one_turn_break_budget() {
+    let turns = |count: u64| broken_rules((1..=count).map(|id| turn(id, None)).collect());
+    assert_eq!(
+        turns(9),
+        [],
+        "108 tokens, with a budget of 100 and 12 for one turn"
+    );
+    assert_eq!(
+        turns(10),
+        [Rule::Budget],
+        "120 tokens, with a budget of 100 and 12 for one turn"
+    );
     let mut truncated: Vec<Exchange> = (1..=10).map(|id| turn(id, None)).collect();
     for turn in &mut truncated {
-        let beginning = answer_of(turn).clone();
+        let beginning = answered_mut(turn).clone();
         turn.attempt.outcome = AttemptOutcome::BrokenOff(beginning);
     }
-    assert_eq!(broken(truncated), [Rule::Budget], "broken tries count");
+    assert_eq!(
+        broken_rules(truncated),
+        [Rule::Budget],
+        "the tokens of incomplete responses count"
+    );
 }
 
 #[test]
-fn a_persisted_turn_that_is_not_found_is_lost() {
+fn a_persisted_turn_that_is_not_found_breaks_lost() {
     let requested_later = |ended_ms: u64| {
         let mut next = turn(2, Some(1));
-        refuse(&mut next, 404);
+        reject(&mut next, 404);
         next.observations.clear();
         next.attempt.ended_ms = ended_ms;
         next
     };
     assert_eq!(
-        broken(vec![turn(1, None), requested_later(59_000)]),
+        broken_rules(vec![turn(1, None), requested_later(59_000)]),
         [Rule::Lost]
     );
-    assert_eq!(broken(vec![turn(1, None), requested_later(61_000)]), []);
+    assert_eq!(
+        broken_rules(vec![turn(1, None), requested_later(61_000)]),
+        []
+    );
     let mut truncated = turn(1, None);
-    let beginning = answer_of(&mut truncated).clone();
+    let beginning = answered_mut(&mut truncated).clone();
     truncated.attempt.outcome = AttemptOutcome::BrokenOff(beginning);
     assert_eq!(
-        broken(vec![truncated, requested_later(1_000)]),
+        broken_rules(vec![truncated, requested_later(1_000)]),
         [],
         "only completed turns are stored"
     );
 }
 
 #[test]
-fn a_request_at_a_server_that_has_drained_is_drain() {
-    let came = |at_ms: u64, status: u16| {
+fn a_late_request_at_a_draining_server_breaks_drain() {
+    let rules_for_arrival = |at_ms: u64, status: u16| {
         let mut late = exchange(1, "/record/x", "tools");
         late.observations[0].at_ms = at_ms;
         if status == 421 {
             late.observations[0].fate = Fate::Rejected;
             late.observations[0].status = Some(421);
-            refuse(&mut late, 503);
+            reject(&mut late, 503);
         }
         let record = record_of(vec![late]);
         let instance = "i-tools".to_owned();
@@ -411,12 +451,12 @@
             .map(|violation| violation.rule)
             .collect::<Vec<_>>()
     };
-    assert_eq!(came(50 + DRAIN_MS, 200), []);
-    assert_eq!(came(51 + DRAIN_MS, 200), [Rule::Drain]);
-    assert_eq!(came(51 + DRAIN_MS, 421), []);
+    assert_eq!(rules_for_arrival(50 + DRAIN_MS, 200), []);
+    assert_eq!(rules_for_arrival(51 + DRAIN_MS, 200), [Rule::Drain]);
+    assert_eq!(rules_for_arrival(51 + DRAIN_MS, 421), []);
 }
 
-/// Version 1 has `/record/` at `tools`; version 2 has it at `models`, drops `/lookup/` and adds `/new/`.
+/// Version 1 routes `/record/` to `tools`; version 2 routes it to `models`, removes `/lookup/` and adds `/new/`.
 fn two_versions() -> JudgeSettings {
     let first = settings().versions.remove(0);
     let moved = RoutePlan::new("record", HOST, "/record/", Kind::Mutating, "models");
@@ -425,8 +465,12 @@
     JudgeSettings::of(vec![first, second])
 }
 
-/// The rules broken by a request sent this long after the second version was acknowledged.
-fn after_second(mut exchange: Exchange, sent_after_ms: u64, settings: &JudgeSettings) -> Vec<Rule> {
+/// The rules broken by a request that is sent `sent_after_ms` after the acknowledgement of the second version.
+fn rules_after_second_version(
+    mut exchange: Exchange,
+    sent_after_ms: u64,
+    settings: &JudgeSettings,
+) -> Vec<Rule> {
     const ACKNOWLEDGED_MS: u64 = 1_000;
     exchange.attempt.sent_ms = ACKNOWLEDGED_MS + sent_after_ms;
     let record = record_of(vec![exchange]);
@@ -443,25 +487,28 @@
 }
 
 #[test]
-fn what_only_an_older_version_allows_is_config() {
+fn handling_that_only_a_superseded_version_allows_breaks_config() {
     let settings = two_versions();
     let (in_time, late) = (CONFIG_APPLY_MS, CONFIG_APPLY_MS + 1);
     let old_service = || exchange(1, "/record/x", "tools");
     let dropped_route = || exchange(1, "/lookup/x", "tools");
     let unknown_route = || {
         let mut unknown = exchange(1, "/new/x", "tools");
-        refuse(&mut unknown, 404);
+        reject(&mut unknown, 404);
         unknown.observations.clear();
         unknown
     };
     for old in [old_service(), dropped_route(), unknown_route()] {
-        assert_eq!(after_second(old, in_time, &settings), []);
+        assert_eq!(rules_after_second_version(old, in_time, &settings), []);
     }
     for old in [old_service(), dropped_route(), unknown_route()] {
-        assert_eq!(after_second(old, late, &settings), [Rule::Config]);
+        assert_eq!(
+            rules_after_second_version(old, late, &settings),
+            [Rule::Config]
+        );
     }
     assert_eq!(
-        after_second(exchange(1, "/record/x", "models"), late, &settings),
+        rules_after_second_version(exchange(1, "/record/x", "models"), late, &settings),
         []
     );
     let disturbances = vec![Span {
@@ -469,7 +516,7 @@
         to_ms: 9_000,
     }];
     assert_eq!(
-        after_second(
+        rules_after_second_version(
             old_service(),
             late,
             &JudgeSettings {
@@ -482,29 +529,32 @@
 }
 
 #[test]
-fn a_request_closed_by_a_terminating_machine_is_lost() {
-    let truncated = |ended_ms: u64, change: fn(&mut Exchange)| {
-        let mut truncated = exchange(1, "/record/x", "tools");
-        truncated.attempt.outcome = AttemptOutcome::Closed;
-        truncated.attempt.ended_ms = ended_ms;
-        truncated.observations[0].complete = false;
-        change(&mut truncated);
-        let front = truncated.attempt.front;
-        let record = record_of(vec![truncated]);
+fn a_request_closed_by_a_terminating_machine_breaks_lost() {
+    let rules_for_closed = |ended_ms: u64, change: fn(&mut Exchange)| {
+        let mut closed = exchange(1, "/record/x", "tools");
+        closed.attempt.outcome = AttemptOutcome::Closed;
+        closed.attempt.ended_ms = ended_ms;
+        closed.observations[0].complete = false;
+        change(&mut closed);
+        let front = closed.attempt.front;
+        let record = record_of(vec![closed]);
         record.acknowledged(1_000, 1_000, Acknowledged::Terminated { front });
         judge(&record, &settings())
             .iter()
             .map(|violation| violation.rule)
             .collect::<Vec<_>>()
     };
-    assert_eq!(truncated(2_000, |_| {}), [Rule::Lost]);
-    assert_eq!(truncated(999, |_| {}), []);
-    assert_eq!(truncated(2_000, |it| it.observations[0].faulted = true), []);
+    assert_eq!(rules_for_closed(2_000, |_| {}), [Rule::Lost]);
+    assert_eq!(rules_for_closed(999, |_| {}), []);
+    assert_eq!(
+        rules_for_closed(2_000, |it| it.observations[0].faulted = true),
+        []
+    );
     let unread = |it: &mut Exchange| {
         it.observations.clear();
         it.attempt.sent_ms = it.attempt.ended_ms - 100;
     };
-    assert_eq!(truncated(2_000, unread), []);
+    assert_eq!(rules_for_closed(2_000, unread), []);
     let mut faulty = exchange(1, "/record/x", "tools");
     faulty.attempt.outcome = AttemptOutcome::Closed;
     faulty.attempt.ended_ms = 2_000;
--- a/crates/testing/emulator/tests/servers.rs
+++ b/crates/testing/emulator/tests/servers.rs
@@ -1,4 +1,4 @@
-//! The servers of the emulator, called by its clients directly.
+//! Tests of the emulated servers: the emulator's clients call them directly, without the system between them.
 
 use dunespur_emulator::client::call::{call, Call};
 use dunespur_emulator::client::{Client, Kind, RequestSpec, Turn};
@@ -15,8 +15,9 @@
 use tokio::net::TcpListener;
 
 const HOST: &str = "h.example";
-const LIMIT: Duration = Duration::from_secs(5);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
+/// Clock, record and client of a test, and the address of its server.
 struct Fixture {
     context: TestContext,
     client: Client,
@@ -51,13 +52,13 @@
     )
 }
 
-async fn plain(slots: u32, settings: PlainSettings) -> (Fixture, PlainServer) {
+async fn start_plain_server(slots: u32, settings: PlainSettings) -> (Fixture, PlainServer) {
     let (fixture, listener, identity) = fixture(slots).await;
     let server = PlainServer::start(listener, identity, settings, fixture.context.clone());
     (fixture, server)
 }
 
-async fn engine(slots: u32, settings: EngineSettings) -> (Fixture, EngineServer) {
+async fn start_engine_server(slots: u32, settings: EngineSettings) -> (Fixture, EngineServer) {
     let (fixture, listener, identity) = fixture(slots).await;
     let server = EngineServer::start(listener, identity, settings, fixture.context.clone());
     (fixture, server)
@@ -84,14 +85,16 @@
     }
 }
 
-fn once(target: &str) -> RequestSpec {
+/// A mutating request, sent without retries.
+fn mutating_request(target: &str) -> RequestSpec {
     RequestSpec {
         retries: 0,
         ..RequestSpec::post(HOST, target, Kind::Mutating, "body")
     }
 }
 
-fn turn(max_tokens: u64) -> RequestSpec {
+/// A turn, sent without retries.
+fn turn_request(max_tokens: u64) -> RequestSpec {
     let mut spec = RequestSpec::post(
         HOST,
         "/turns/x",
@@ -112,10 +115,10 @@
 }
 
 #[tokio::test]
-async fn a_plain_server_answers_with_id_stamp_and_a_body_of_its_own() {
-    let (fixture, _server) = plain(2, PlainSettings::default()).await;
-    let first = fixture.client.send(&once("/x")).await;
-    let second = fixture.client.send(&once("/x")).await;
+async fn a_plain_server_gives_each_response_its_own_stamp_and_body() {
+    let (fixture, _server) = start_plain_server(2, PlainSettings::default()).await;
+    let first = fixture.client.send(&mutating_request("/x")).await;
+    let second = fixture.client.send(&mutating_request("/x")).await;
     let (first, second) = (first.answer().unwrap(), second.answer().unwrap());
     assert_eq!((first.status, first.body.len()), (200, 800));
     assert_ne!(first.stamp, second.stamp);
@@ -124,8 +127,8 @@
 }
 
 #[tokio::test]
-async fn a_full_server_says_that_it_did_not_run_the_request() {
-    let (fixture, server) = plain(
+async fn a_full_server_rejects_a_request_as_not_run() {
+    let (fixture, server) = start_plain_server(
         1,
         PlainSettings {
             queue: 1,
@@ -137,15 +140,17 @@
     let mut pending = Vec::new();
     for count in 1..=2 {
         let client = fixture.client.clone();
-        pending.push(tokio::spawn(async move { client.send(&once("/x")).await }));
+        pending.push(tokio::spawn(async move {
+            client.send(&mutating_request("/x")).await
+        }));
         fixture
             .record()
             .until(|observations| observations.len() == count)
             .await;
     }
     server.gate.waiting(1).await;
-    let refused = fixture.client.send(&once("/x")).await;
-    let answer = refused.answer().unwrap();
+    let rejected = fixture.client.send(&mutating_request("/x")).await;
+    let answer = rejected.answer().unwrap();
     assert_eq!((answer.status, answer.not_executed), (503, true));
     server.gate.open();
     for pending in pending {
@@ -155,15 +160,15 @@
 }
 
 #[tokio::test]
-async fn each_fault_has_its_own_outcome() {
-    let (fixture, server) = plain(1, PlainSettings::default()).await;
+async fn each_server_fault_leads_to_its_outcome_at_the_client() {
+    let (fixture, server) = start_plain_server(1, PlainSettings::default()).await;
     let outcome = async |fault| {
         server.handle.faults.once(fault);
         fixture
             .client
             .send(&RequestSpec {
                 deadline_ms: 300,
-                ..once("/x")
+                ..mutating_request("/x")
             })
             .await
             .outcome
@@ -203,13 +208,13 @@
         .iter()
         .filter(|observation| observation.fate == Fate::Run)
         .count();
-    assert_eq!(ran, 7, "all but the one turned away");
+    assert_eq!(ran, 7, "all requests but the rejected one have run");
 }
 
 #[tokio::test]
-async fn another_server_than_the_expected_one_is_421_and_runs_nothing() {
-    let (fixture, _server) = plain(1, PlainSettings::default()).await;
-    let mut spec = once("/x");
+async fn a_request_for_another_instance_is_rejected_with_421() {
+    let (fixture, _server) = start_plain_server(1, PlainSettings::default()).await;
+    let mut spec = mutating_request("/x");
     spec.headers = Headers::new().with(name::EXPECT_INSTANCE, "i-2");
     assert_eq!(fixture.client.send(&spec).await.status(), Some(421));
     spec.headers = Headers::new().with(name::EXPECT_INSTANCE, "i-1");
@@ -224,9 +229,9 @@
 }
 
 #[tokio::test]
-async fn a_request_without_id_is_400_and_not_run() {
-    let (fixture, _server) = plain(1, PlainSettings::default()).await;
-    let answer = call(fixture.address, &Call::post("/x", "body"), LIMIT)
+async fn a_request_without_id_is_rejected_with_400() {
+    let (fixture, _server) = start_plain_server(1, PlainSettings::default()).await;
+    let answer = call(fixture.address, &Call::post("/x", "body"), CALL_TIMEOUT)
         .await
         .unwrap();
     assert_eq!(answer.status, 400);
@@ -239,7 +244,7 @@
         max_connections: 2,
         ..ConnectionSettings::default()
     };
-    let (fixture, server) = plain(
+    let (fixture, server) = start_plain_server(
         2,
         PlainSettings {
             connections,
@@ -251,16 +256,18 @@
     let mut pending = Vec::new();
     for count in 1..=2 {
         let client = fixture.client.clone();
-        pending.push(tokio::spawn(async move { client.send(&once("/x")).await }));
+        pending.push(tokio::spawn(async move {
+            client.send(&mutating_request("/x")).await
+        }));
         server.gate.waiting(count).await;
     }
-    let third = fixture.client.send(&once("/x")).await;
+    let over_limit = fixture.client.send(&mutating_request("/x")).await;
     assert!(
         matches!(
-            third.outcome,
+            over_limit.outcome,
             AttemptOutcome::Closed | AttemptOutcome::NotSent
         ),
-        "{third:?}"
+        "{over_limit:?}"
     );
     assert_eq!((server.handle.accepted(), server.handle.reset()), (2, 1));
     server.gate.open();
@@ -270,17 +277,20 @@
 }
 
 #[tokio::test]
-async fn health_names_the_server_until_it_leaves() {
-    let (fixture, server) = plain(1, PlainSettings::default()).await;
+async fn the_health_check_names_the_instance_and_fails_once_the_server_is_leaving() {
+    let (fixture, server) = start_plain_server(1, PlainSettings::default()).await;
     let spec = Call::get("/healthz");
-    let answer = call(fixture.address, &spec, LIMIT).await.unwrap();
+    let answer = call(fixture.address, &spec, CALL_TIMEOUT).await.unwrap();
     assert_eq!(
         (answer.status, answer.headers.get(name::INSTANCE_ID)),
         (200, Some("i-1"))
     );
     server.handle.set_leaving();
     assert_eq!(
-        call(fixture.address, &spec, LIMIT).await.unwrap().status,
+        call(fixture.address, &spec, CALL_TIMEOUT)
+            .await
+            .unwrap()
+            .status,
         503
     );
     assert_eq!(server.handle.probes(), 2);
@@ -288,28 +298,28 @@
 
 #[tokio::test]
 async fn a_model_server_streams_its_tokens_in_events() {
-    let (fixture, server) = engine(4, EngineSettings::default()).await;
-    let served = fixture.client.send(&turn(10)).await;
+    let (fixture, server) = start_engine_server(4, EngineSettings::default()).await;
+    let served = fixture.client.send(&turn_request(10)).await;
     let answer = served.answer().unwrap();
     let ids: Vec<u64> = answer.events.iter().map(|event| event.id).collect();
     assert_eq!(
         ids,
         [0, 1, 2, 3],
-        "three tokens each, the last event not full"
+        "the events hold three tokens each, except the last one"
     );
     assert_eq!(server.prompt_tokens_prefilled(), 100);
-    fixture.client.send(&turn(10)).await;
+    fixture.client.send(&turn_request(10)).await;
     assert_eq!(
         server.prompt_tokens_prefilled(),
         100,
-        "both segments of the prompt are cached"
+        "the second prompt needs no prefill, as both its segments are cached"
     );
     fixture.expect_no_violation();
 }
 
 #[tokio::test]
-async fn the_test_lets_each_step_go() {
-    let (fixture, server) = engine(
+async fn each_step_waits_at_the_gate() {
+    let (fixture, server) = start_engine_server(
         4,
         EngineSettings {
             chunk_tokens: 1,
@@ -319,7 +329,7 @@
     .await;
     server.gate.close();
     let client = fixture.client.clone();
-    let turn = tokio::spawn(async move { client.send(&turn(3)).await });
+    let turn = tokio::spawn(async move { client.send(&turn_request(3)).await });
     for count in 0..3 {
         server.gate.waiting(1).await;
         let observations = fixture.record().observations();
@@ -335,7 +345,7 @@
 
 #[tokio::test]
 async fn a_caller_that_disconnects_releases_its_slot() {
-    let (fixture, server) = engine(
+    let (fixture, server) = start_engine_server(
         1,
         EngineSettings {
             queue: 0,
@@ -345,46 +355,49 @@
     .await;
     server.gate.close();
     let client = fixture.client.clone();
-    let left = tokio::spawn(async move { client.send(&turn(3)).await });
+    let dropped = tokio::spawn(async move { client.send(&turn_request(3)).await });
     server.gate.waiting(1).await;
-    assert_eq!(fixture.client.send(&turn(3)).await.status(), Some(503));
-    left.abort();
+    assert_eq!(
+        fixture.client.send(&turn_request(3)).await.status(),
+        Some(503)
+    );
+    dropped.abort();
     fixture
         .record()
         .until(|observations| observations[0].fate == Fate::Abandoned)
         .await;
     server.gate.open();
-    assert!(fixture.client.send(&turn(3)).await.succeeded());
+    assert!(fixture.client.send(&turn_request(3)).await.succeeded());
     fixture.expect_no_violation();
 }
 
 #[tokio::test]
 async fn a_stream_truncated_inside_an_event_never_looks_complete() {
-    let (fixture, server) = engine(1, EngineSettings::default()).await;
+    let (fixture, server) = start_engine_server(1, EngineSettings::default()).await;
     for after in [0, 1, 30, 60, 100] {
         server
             .handle
             .faults
             .once(ServerFault::TruncateBody { after });
-        let served = fixture.client.send(&turn(12)).await;
+        let served = fixture.client.send(&turn_request(12)).await;
         assert!(
             matches!(served.outcome, AttemptOutcome::BrokenOff(_)),
-            "{after}: {served:?}"
+            "truncated after {after} bytes: {served:?}"
         );
     }
     fixture.expect_no_violation();
 }
 
 #[tokio::test]
-async fn a_report_tells_load_and_memory() {
-    let (fixture, server) = engine(2, EngineSettings::default()).await;
+async fn a_report_states_load_and_memory_use() {
+    let (fixture, server) = start_engine_server(2, EngineSettings::default()).await;
     server.gate.close();
     let client = fixture.client.clone();
-    let pending = tokio::spawn(async move { client.send(&turn(6)).await });
+    let pending = tokio::spawn(async move { client.send(&turn_request(6)).await });
     server.gate.waiting(1).await;
     server.gate.release(1);
     server.gate.waiting(1).await;
-    let answer = call(fixture.address, &Call::get("/api/report"), LIMIT)
+    let answer = call(fixture.address, &Call::get("/api/report"), CALL_TIMEOUT)
         .await
         .unwrap();
     let report: serde_json::Value = serde_json::from_slice(&answer.body).unwrap();
@@ -395,21 +408,21 @@
     assert_eq!(
         report["kv_used"].as_u64(),
         Some(101),
-        "the prompt and one token"
+        "the tokens of the prompt and one generated token"
     );
     server.gate.open();
     assert!(pending.await.unwrap().succeeded());
 }
 
 #[tokio::test]
-async fn an_attempt_whose_client_is_dropped_is_in_the_record() {
-    let (fixture, server) = plain(1, PlainSettings::default()).await;
+async fn an_attempt_whose_client_is_dropped_is_recorded_as_given_up() {
+    let (fixture, server) = start_plain_server(1, PlainSettings::default()).await;
     server.gate.close();
     let client = fixture.client.clone();
-    let left = tokio::spawn(async move { client.send(&once("/x")).await });
+    let dropped = tokio::spawn(async move { client.send(&mutating_request("/x")).await });
     server.gate.waiting(1).await;
-    left.abort();
-    assert!(left.await.is_err());
+    dropped.abort();
+    assert!(dropped.await.is_err());
     assert!(matches!(
         fixture.record().attempts()[0].outcome,
         AttemptOutcome::GivenUp
--- a/crates/testing/emulator/tests/wire.rs
+++ b/crates/testing/emulator/tests/wire.rs
@@ -1,21 +1,22 @@
-//! Messages read from chunks of any size.
+//! Tests of the readers of HTTP messages and events, with input in chunks of various sizes.
 
 use dunespur_emulator::wire::{Event, EventReader, GarbledEvent, MessageReader, WireError};
 
-/// Reads one response from `bytes`, delivered in chunks of `size`.
-async fn answer(bytes: &[u8], size: usize) -> Result<(u16, Vec<u8>), WireError> {
-    let mut builder = ChunkedBytes {
-        left: bytes.to_vec(),
+/// Reads one response from `bytes`, delivered in chunks of at most `size` bytes.
+async fn read_response(bytes: &[u8], size: usize) -> Result<(u16, Vec<u8>), WireError> {
+    let mut stream = ChunkedBytes {
+        remaining: bytes.to_vec(),
         size,
     };
-    let mut reader = MessageReader::new(&mut builder);
+    let mut reader = MessageReader::new(&mut stream);
     let head = reader.response_head().await?;
     let body = reader.body().await?;
     Ok((head.status, body.to_vec()))
 }
 
+/// A stream that delivers its bytes in chunks of at most `size`.
 struct ChunkedBytes {
-    left: Vec<u8>,
+    remaining: Vec<u8>,
     size: usize,
 }
 
@@ -25,15 +26,15 @@
         _: &mut std::task::Context<'_>,
         buffer: &mut tokio::io::ReadBuf<'_>,
     ) -> std::task::Poll<std::io::Result<()>> {
-        let count = self.left.len().min(self.size).min(buffer.remaining());
-        let data: Vec<u8> = self.left.drain(..count).collect();
+        let count = self.remaining.len().min(self.size).min(buffer.remaining());
+        let data: Vec<u8> = self.remaining.drain(..count).collect();
         buffer.put_slice(&data);
         std::task::Poll::Ready(Ok(()))
     }
 }
 
 #[tokio::test]
-async fn complete_answers_are_read_whatever_the_chunks() {
+async fn complete_responses_are_read_at_every_chunk_size() {
     let cases: [(&str, &str); 4] = [
         ("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", "hello"),
         (
@@ -45,31 +46,31 @@
     ];
     for (bytes, body) in cases {
         for size in 1..bytes.len() {
-            let (_, read) = answer(bytes.as_bytes(), size).await.expect(bytes);
-            assert_eq!(read, body.as_bytes(), "{bytes:?} in pieces of {size}");
+            let (_, read) = read_response(bytes.as_bytes(), size).await.expect(bytes);
+            assert_eq!(read, body.as_bytes(), "{bytes:?} in chunks of {size} bytes");
         }
     }
 }
 
 #[tokio::test]
-async fn truncated_answers_never_look_complete() {
+async fn truncated_responses_never_look_complete() {
     let complete = [
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n",
     ];
     for bytes in complete {
         for length in 1..bytes.len() {
-            let error = answer(&bytes.as_bytes()[..length], 7)
+            let error = read_response(&bytes.as_bytes()[..length], 7)
                 .await
                 .expect_err(&bytes[..length]);
             assert_eq!(error, WireError::BrokenOff, "{:?}", &bytes[..length]);
         }
     }
-    assert_eq!(answer(b"", 1).await, Err(WireError::Ended));
+    assert_eq!(read_response(b"", 1).await, Err(WireError::Ended));
 }
 
 #[tokio::test]
-async fn what_is_no_answer_is_an_error() {
+async fn a_malformed_response_is_an_error() {
     let cases = [
         "hello\r\n\r\n",
         "HTTP/1.0 200 OK\r\n\r\n",
@@ -82,13 +83,13 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nTrailer: x\r\n\r\n",
     ];
     for bytes in cases {
-        let error = answer(bytes.as_bytes(), 9).await.expect_err(bytes);
+        let error = read_response(bytes.as_bytes(), 9).await.expect_err(bytes);
         assert!(matches!(error, WireError::Garbled(_)), "{bytes:?}: {error}");
     }
 }
 
 #[test]
-fn events_come_out_as_they_were_put_in() {
+fn events_are_read_as_they_were_written() {
     let events = [
         Event {
             id: 3,
@@ -122,7 +123,7 @@
 }
 
 #[test]
-fn a_block_without_id_or_data_is_no_event() {
+fn a_block_without_valid_id_or_data_is_malformed() {
     for block in [
         "data: x\n\n",
         "id: 1\n\n",
