--- a/crates/serving/dunespur/tests/founding.rs
+++ b/crates/serving/dunespur/tests/founding.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use dunespur_emulator::client::call::{call, Call};
-use dunespur_emulator::client::Kind;
+use dunespur_emulator::client::RequestKind;
 use dunespur_emulator::configuration::{patch, RoutePlan};
 use dunespur_emulator::scene::{Scene, ScenePlan, HOST, TOOLS};
 use dunespur_emulator::system::{MachinePlan, Role};
@@ -78,7 +78,13 @@
     for control in &controls {
         scene.operator.set_controls(vec![*control]);
         let name = format!("route-{version}");
-        let route = RoutePlan::new(&name, HOST, &format!("/{name}/"), Kind::ReadOnly, TOOLS);
+        let route = RoutePlan::new(
+            &name,
+            HOST,
+            &format!("/{name}/"),
+            RequestKind::ReadOnly,
+            TOOLS,
+        );
         let body = patch(version + 1, &[route], &[]);
         let answer = scene
             .operator
@@ -171,7 +177,7 @@
     programs_for(&scene, CATCH_UP).await;
     let other = machines_of(&scene, Role::Core)[0];
     scene.system.machine(other).kill();
-    let route = RoutePlan::new("later", HOST, "/later/", Kind::ReadOnly, TOOLS);
+    let route = RoutePlan::new("later", HOST, "/later/", RequestKind::ReadOnly, TOOLS);
     let answer = scene
         .operator
         .patch(1, &patch(2, &[route], &[]), RECOVERY)
--- a/crates/serving/dunespur/tests/frozen.rs
+++ b/crates/serving/dunespur/tests/frozen.rs
@@ -3,8 +3,8 @@
 
 mod support;
 
-use dunespur_emulator::client::call::{call, Call, CallAnswer};
-use dunespur_emulator::client::Kind;
+use dunespur_emulator::client::call::{call, Call, CallResponse};
+use dunespur_emulator::client::RequestKind;
 use dunespur_emulator::configuration::{patch, RoutePlan};
 use dunespur_emulator::scene::{Scene, ScenePlan, HOST, TOOLS};
 use dunespur_emulator::system::Role;
@@ -26,7 +26,13 @@
 const HEARTBEATS: usize = 20;
 
 fn route(name: &str) -> RoutePlan {
-    RoutePlan::new(name, HOST, &format!("/{name}/"), Kind::ReadOnly, TOOLS)
+    RoutePlan::new(
+        name,
+        HOST,
+        &format!("/{name}/"),
+        RequestKind::ReadOnly,
+        TOOLS,
+    )
 }
 
 fn order(base: u64, body: &Value) -> Call {
@@ -56,12 +62,12 @@
     );
 }
 
-fn generation(answer: &CallAnswer) -> Value {
+fn generation(answer: &CallResponse) -> Value {
     serde_json::from_slice::<Value>(&answer.body).expect("a body")["generation"].clone()
 }
 
 /// The newest version is 7, or 8 if the fresh order was taken.
-fn expect_current(call_kind: FrozenCall, answer: &CallAnswer) {
+fn expect_current(call_kind: FrozenCall, answer: &CallResponse) {
     let newest = [json!(7), json!(8)];
     let text = String::from_utf8_lossy(&answer.body);
     match (call_kind, answer.status) {
--- a/crates/serving/dunespur/tests/large_state.rs
+++ b/crates/serving/dunespur/tests/large_state.rs
@@ -9,7 +9,7 @@
 use dunespur::messages::{decode, encode, Reply, Request};
 use dunespur_budget::{CounterChange, CounterReply, CounterRequest, LimiterId};
 use dunespur_control_state::{Operation, Outcome, ServerReport, ServerState};
-use dunespur_emulator::client::Kind;
+use dunespur_emulator::client::RequestKind;
 use dunespur_emulator::configuration::{patch, RoutePlan};
 use dunespur_emulator::scene::{Scene, ScenePlan, HOST, TOOLS};
 use dunespur_emulator::system::{Ports, Role};
@@ -132,7 +132,13 @@
     let routes: Vec<RoutePlan> = (0..ROUTES)
         .map(|number| {
             let name = format!("many-{number}");
-            RoutePlan::new(&name, HOST, &format!("/{name}/"), Kind::ReadOnly, TOOLS)
+            RoutePlan::new(
+                &name,
+                HOST,
+                &format!("/{name}/"),
+                RequestKind::ReadOnly,
+                TOOLS,
+            )
         })
         .collect();
     let plan = scene.configurations.last().unwrap();
--- a/crates/serving/dunespur/tests/orders.rs
+++ b/crates/serving/dunespur/tests/orders.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use dunespur_emulator::client::{Kind, RequestSpec};
+use dunespur_emulator::client::{RequestKind, RequestSpec};
 use dunespur_emulator::configuration::{patch, RoutePlan, WeightedBackend};
 use dunespur_emulator::scene::{Scene, ScenePlan, HOST, LOOKUP, MODELS, TOOLS};
 use dunespur_emulator::system::Role;
@@ -15,7 +15,7 @@
 const APPLY: Duration = Duration::from_millis(2_000);
 
 fn added() -> RoutePlan {
-    RoutePlan::new("added", HOST, "/added/", Kind::ReadOnly, TOOLS)
+    RoutePlan::new("added", HOST, "/added/", RequestKind::ReadOnly, TOOLS)
 }
 
 /// Has a patch taken on top of version `base`, and the judge know of it.
@@ -80,7 +80,7 @@
 #[tokio::test]
 async fn a_route_moves_to_another_service() {
     let mut scene = stage(ScenePlan::default()).await;
-    let mut moved = RoutePlan::new("lookup", HOST, LOOKUP, Kind::ReadOnly, MODELS);
+    let mut moved = RoutePlan::new("lookup", HOST, LOOKUP, RequestKind::ReadOnly, MODELS);
     moved.retries = 2;
     change(&mut scene, 1, 2, std::slice::from_ref(&moved), &[]).await;
     everywhere(&scene, &RequestSpec::get(HOST, &format!("{LOOKUP}x")), 200).await;
@@ -146,7 +146,7 @@
     let mut scene = stage(ScenePlan::default()).await;
     take(&mut scene, 1, &patch(5, &[added()], &[])).await;
     for base in [0, 1, 4, 6] {
-        let other = RoutePlan::new("other", HOST, "/other/", Kind::ReadOnly, TOOLS);
+        let other = RoutePlan::new("other", HOST, "/other/", RequestKind::ReadOnly, TOOLS);
         let answer = scene
             .operator
             .patch(base, &patch(7, &[other], &[]), ORDER_LIMIT)
@@ -176,7 +176,7 @@
     let mut scene = stage(ScenePlan::default()).await;
     let mut unknown_service = added();
     unknown_service.backends[0].backend = "nobody".to_owned();
-    let mut no_time = RoutePlan::new("no-time", HOST, "/no-time/", Kind::ReadOnly, TOOLS);
+    let mut no_time = RoutePlan::new("no-time", HOST, "/no-time/", RequestKind::ReadOnly, TOOLS);
     no_time.timeout_ms = 0;
     let body = patch(5, &[unknown_service, no_time], &[]);
     let answer = scene.operator.patch(1, &body, ORDER_LIMIT).await.unwrap();
@@ -228,7 +228,13 @@
         for side in 0..2 {
             let mut operator = scene.operator.clone();
             let name = format!("side-{side}");
-            let route = RoutePlan::new(&name, HOST, &format!("/{name}/"), Kind::ReadOnly, TOOLS);
+            let route = RoutePlan::new(
+                &name,
+                HOST,
+                &format!("/{name}/"),
+                RequestKind::ReadOnly,
+                TOOLS,
+            );
             let body = patch(base + 10, &[route], &[]);
             orders.spawn(async move {
                 operator
--- a/crates/serving/dunespur/tests/quiet.rs
+++ b/crates/serving/dunespur/tests/quiet.rs
@@ -2,8 +2,8 @@
 
 mod support;
 
-use dunespur_emulator::client::{Kind, RequestSpec};
-use dunespur_emulator::program::{play, Conversation, End, SubAgents, Tool};
+use dunespur_emulator::client::{RequestKind, RequestSpec};
+use dunespur_emulator::program::{play, Conversation, ProgramEnd, SubAgents, Tool};
 use dunespur_emulator::record::Fate;
 use dunespur_emulator::scene::{usual_program, ScenePlan, HOST, LOOKUP, RECORD, TURNS};
 use support::{expect_no_violation, lookup, stage, DRAIN};
@@ -16,13 +16,13 @@
     plan.tools = vec![
         Tool {
             target: format!("{LOOKUP}x"),
-            kind: Kind::ReadOnly,
+            kind: RequestKind::ReadOnly,
             deadline_ms: 1_200,
             retries: 1,
         },
         Tool {
             target: format!("{RECORD}y"),
-            kind: Kind::Mutating,
+            kind: RequestKind::Mutating,
             deadline_ms: 3_000,
             retries: 1,
         },
@@ -34,7 +34,7 @@
     });
     for _ in 0..5 {
         let played = play(&scene.client, &plan).await;
-        assert_eq!(played.end, End::Finished, "{played:?}");
+        assert_eq!(played.end, ProgramEnd::Finished, "{played:?}");
         assert_eq!(played.turns.len(), 7);
     }
     expect_no_violation(&scene);
@@ -48,7 +48,7 @@
     plan.persisted = false;
     for _ in 0..5 {
         let played = play(&scene.client, &plan).await;
-        assert_eq!(played.end, End::Finished, "{played:?}");
+        assert_eq!(played.end, ProgramEnd::Finished, "{played:?}");
     }
     expect_no_violation(&scene);
 }
@@ -105,7 +105,7 @@
     while acknowledged.elapsed() < DRAIN + DRAIN / 4 {
         assert!(scene.client.send(&lookup()).await.succeeded());
         let played = play(&scene.client, &usual_program()).await;
-        assert_eq!(played.end, End::Finished, "{played:?}");
+        assert_eq!(played.end, ProgramEnd::Finished, "{played:?}");
     }
     expect_no_violation(&scene);
     scene.plains[0].registration.leave().await;
@@ -123,7 +123,7 @@
 async fn a_mutating_request_runs_once_though_its_response_is_lost() {
     use dunespur_emulator::server::ServerFault;
     let scene = stage(ScenePlan::default()).await;
-    let request = RequestSpec::post(HOST, &format!("{RECORD}x"), Kind::Mutating, "once");
+    let request = RequestSpec::post(HOST, &format!("{RECORD}x"), RequestKind::Mutating, "once");
     for trouble in [
         ServerFault::AnswerLost,
         ServerFault::SendGarbage,
--- a/crates/serving/dunespur/tests/seeds.rs
+++ b/crates/serving/dunespur/tests/seeds.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use dunespur_emulator::client::{Kind, RequestSpec};
+use dunespur_emulator::client::{RequestKind, RequestSpec};
 use dunespur_emulator::scene::{ScenePlan, HOST, RECORD};
 use dunespur_emulator::system::{MachinePlan, Role};
 use support::{
@@ -54,7 +54,7 @@
     scene.system.machine(gateway).kill();
     scene.system.restart(gateway).unwrap();
     let turn = conversation.next_request(&scene.client, &"goes on".into());
-    let record = RequestSpec::post(HOST, &format!("{RECORD}x"), Kind::Mutating, "once");
+    let record = RequestSpec::post(HOST, &format!("{RECORD}x"), RequestKind::Mutating, "once");
     for ask in [lookup(), record, turn, RequestSpec::get(HOST, "/nowhere/x")] {
         let until = Instant::now() + RECOVERY;
         let front = scene.system.front(gateway);
--- a/crates/serving/dunespur/tests/servers.rs
+++ b/crates/serving/dunespur/tests/servers.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use dunespur_emulator::client::Served;
-use dunespur_emulator::client::{Kind, RequestSpec};
+use dunespur_emulator::client::{RequestKind, RequestSpec};
 use dunespur_emulator::configuration::ServicePlan;
 use dunespur_emulator::record::Fate;
 use dunespur_emulator::scene::{Engine, Scene, ScenePlan, HOST, LOOKUP, RECORD};
@@ -17,7 +17,7 @@
 const PATIENCE_MS: u64 = 20_000;
 
 fn record() -> RequestSpec {
-    RequestSpec::post(HOST, &format!("{RECORD}x"), Kind::Mutating, "once")
+    RequestSpec::post(HOST, &format!("{RECORD}x"), RequestKind::Mutating, "once")
 }
 
 /// A scene whose routes hold requests for as long as the others are watched.
--- a/crates/serving/dunespur/tests/status.rs
+++ b/crates/serving/dunespur/tests/status.rs
@@ -3,7 +3,7 @@
 mod running;
 mod support;
 
-use dunespur_emulator::program::{play, End};
+use dunespur_emulator::program::{play, ProgramEnd};
 use dunespur_emulator::scene::{usual_program, Scene, ScenePlan, MODELS, READY_TIMEOUT, TOOLS};
 use dunespur_emulator::system::{AddressBlock, Ports, Role, TemporaryFolder};
 use running::Running;
@@ -102,7 +102,7 @@
     for _ in 0..2 {
         assert_eq!(
             play(&scene.client, &usual_program()).await.end,
-            End::Finished
+            ProgramEnd::Finished
         );
     }
     let sent_turns = 2 * u64::from(usual_program().turns);
--- a/crates/serving/dunespur/tests/support/mod.rs
+++ b/crates/serving/dunespur/tests/support/mod.rs
@@ -4,9 +4,9 @@
 pub mod disk;
 
 use disk::{fail_as_late, stood_still_since};
-use dunespur_emulator::client::{Kind, RequestSpec};
+use dunespur_emulator::client::{RequestKind, RequestSpec};
 use dunespur_emulator::configuration::{patch, RoutePlan};
-use dunespur_emulator::program::{play, Conversation, End};
+use dunespur_emulator::program::{play, Conversation, ProgramEnd};
 use dunespur_emulator::scene::{usual_program, Scene, ScenePlan, HOST, LOOKUP, TOOLS};
 use dunespur_emulator::system::Role;
 use serde_json::Value;
@@ -104,13 +104,13 @@
     while begun.elapsed() < time + stood_still_since(begun) {
         let played = play(&scene.client, &usual_program()).await;
         if played.end
-            == (End::Failed {
+            == (ProgramEnd::Failed {
                 status: Some(LATER),
             })
         {
             fail_as_late(format!("{played:?}"));
         }
-        assert_eq!(played.end, End::Finished, "{played:?}");
+        assert_eq!(played.end, ProgramEnd::Finished, "{played:?}");
     }
 }
 
@@ -175,7 +175,13 @@
 pub async fn add_route(scene: &mut Scene, base: u64) -> u64 {
     let generation = base + 3;
     let name = format!("route-{generation}");
-    let route = RoutePlan::new(&name, HOST, &format!("/{name}/"), Kind::ReadOnly, TOOLS);
+    let route = RoutePlan::new(
+        &name,
+        HOST,
+        &format!("/{name}/"),
+        RequestKind::ReadOnly,
+        TOOLS,
+    );
     let plan =
         scene
             .configurations
--- a/crates/serving/dunespur/tests/upgrading.rs
+++ b/crates/serving/dunespur/tests/upgrading.rs
@@ -7,7 +7,7 @@
 mod support;
 
 use dunespur_emulator::client::Client;
-use dunespur_emulator::program::{play, Conversation, End};
+use dunespur_emulator::program::{play, Conversation, ProgramEnd};
 use dunespur_emulator::scene::{usual_program, Scene, ScenePlan};
 use dunespur_emulator::system::Role;
 use std::path::PathBuf;
@@ -45,7 +45,7 @@
 /// Programs that are played one after the other until they are asked to stop.
 struct Traffic {
     stop: watch::Sender<bool>,
-    playing: JoinHandle<Vec<End>>,
+    playing: JoinHandle<Vec<ProgramEnd>>,
 }
 
 impl Traffic {
@@ -63,7 +63,7 @@
     }
 
     /// Lets the program that is being played end; how all of them ended.
-    async fn stop(self) -> Vec<End> {
+    async fn stop(self) -> Vec<ProgramEnd> {
         self.stop.send(true).expect("the programs are still played");
         self.playing.await.expect("programs end without a panic")
     }
@@ -98,17 +98,17 @@
 }
 
 /// None of the programs has failed.
-fn expect_finished(ends: &[End]) {
+fn expect_finished(ends: &[ProgramEnd]) {
     assert!(!ends.is_empty());
     for end in ends {
         if *end
-            == (End::Failed {
+            == (ProgramEnd::Failed {
                 status: Some(LATER),
             })
         {
             fail_as_late(format!("{ends:?}"));
         }
-        assert_eq!(*end, End::Finished, "{ends:?}");
+        assert_eq!(*end, ProgramEnd::Finished, "{ends:?}");
     }
 }
 
--- a/crates/testing/emulator/src/client/attempt.rs
+++ b/crates/testing/emulator/src/client/attempt.rs
@@ -1,6 +1,6 @@
 //! One attempt of a request on a new connection.
 
-use super::request::{Kind, RequestSpec};
+use super::request::{RequestKind, RequestSpec};
 use crate::digest::Digester;
 use crate::identity::RequestId;
 use crate::record::{Answered, AttemptOutcome};
@@ -120,7 +120,7 @@
     }
 
     async fn response_head(&mut self) -> Result<ResponseHead, ReceiveError> {
-        let streaming = matches!(self.attempt.spec.kind, Kind::Streaming { .. });
+        let streaming = matches!(self.attempt.spec.kind, RequestKind::Streaming { .. });
         if !streaming {
             return self
                 .reader
--- a/crates/testing/emulator/src/client/call.rs
+++ b/crates/testing/emulator/src/client/call.rs
@@ -47,7 +47,7 @@
 
 /// The response to a call.
 #[derive(Clone, Debug)]
-pub struct CallAnswer {
+pub struct CallResponse {
     /// HTTP status.
     pub status: u16,
     /// Headers of the response.
@@ -88,13 +88,13 @@
     address: SocketAddr,
     request: &Call,
     limit: Duration,
-) -> Result<CallAnswer, CallError> {
+) -> Result<CallResponse, CallError> {
     timeout(limit, exchange(address, request))
         .await
         .unwrap_or(Err(CallError::Timeout))
 }
 
-async fn exchange(address: SocketAddr, request: &Call) -> Result<CallAnswer, CallError> {
+async fn exchange(address: SocketAddr, request: &Call) -> Result<CallResponse, CallError> {
     let stream = TcpStream::connect(address)
         .await
         .map_err(|error| CallError::NoConnection(error.kind()))?;
@@ -116,7 +116,7 @@
     let mut reader = MessageReader::new(read);
     let head = reader.response_head().await.map_err(CallError::Broken)?;
     let body = reader.body().await.map_err(CallError::Broken)?;
-    Ok(CallAnswer {
+    Ok(CallResponse {
         status: head.status,
         headers: head.headers,
         body,
--- a/crates/testing/emulator/src/client/mod.rs
+++ b/crates/testing/emulator/src/client/mod.rs
@@ -6,5 +6,5 @@
 mod retry;
 
 pub use attempt::Timeouts;
-pub use request::{Kind, RequestSpec, Turn};
+pub use request::{RequestKind, RequestSpec, TurnHeaders};
 pub use retry::{Client, Served};
--- a/crates/testing/emulator/src/client/request.rs
+++ b/crates/testing/emulator/src/client/request.rs
@@ -8,7 +8,7 @@
 
 /// Kind of a request, as its route defines it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum RequestKind {
     /// Changes no state: may run any number of times.
     ReadOnly,
     /// Changes state: may run at most once.
@@ -20,17 +20,20 @@
     },
 }
 
-impl Kind {
+impl RequestKind {
     /// Whether a request may run more than once, so that the client may retry after any failure.
     #[must_use]
     pub fn idempotent(self) -> bool {
-        matches!(self, Kind::ReadOnly | Kind::Streaming { resumable: true })
+        matches!(
+            self,
+            RequestKind::ReadOnly | RequestKind::Streaming { resumable: true }
+        )
     }
 }
 
 /// What the headers of a program's turn state.
 #[derive(Clone, Debug, Default)]
-pub struct Turn {
+pub struct TurnHeaders {
     /// Name of the model.
     pub model: String,
     /// Tokens of the whole prompt.
@@ -57,7 +60,7 @@
     /// Path and query.
     pub target: String,
     /// Kind of the request's route; decides whether the client may retry.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// Body as the client sends it.
     pub body: Bytes,
     /// Digest of the body that a server is to receive; `None` where it is not compared.
@@ -77,7 +80,7 @@
     /// Remaining time of the program, in milliseconds.
     pub finish_ms: Option<u64>,
     /// Headers of a turn; `None` for other requests.
-    pub turn: Option<Turn>,
+    pub turn: Option<TurnHeaders>,
     /// Additional headers.
     pub headers: Headers,
 }
@@ -90,7 +93,7 @@
             host: host.to_owned(),
             method: "GET",
             target: target.to_owned(),
-            kind: Kind::ReadOnly,
+            kind: RequestKind::ReadOnly,
             body: Bytes::new(),
             expected: Some(Digest::of(b"")),
             deadline_ms: 5_000,
@@ -106,7 +109,12 @@
     }
 
     /// A POST request with a body.
-    pub fn post(host: &str, target: &str, kind: Kind, body: impl Into<Bytes>) -> RequestSpec {
+    pub fn post(
+        host: &str,
+        target: &str,
+        kind: RequestKind,
+        body: impl Into<Bytes>,
+    ) -> RequestSpec {
         let body = body.into();
         let expected = Some(Digest::of(&body));
         RequestSpec {
@@ -160,7 +168,7 @@
     }
 }
 
-impl Turn {
+impl TurnHeaders {
     fn push_headers(&self, headers: &mut Headers) {
         headers.push(name::MODEL, self.model.clone());
         headers.push(
--- a/crates/testing/emulator/src/configuration.rs
+++ b/crates/testing/emulator/src/configuration.rs
@@ -1,6 +1,6 @@
 //! Configurations and patches that the operator sends, and their JSON form.
 
-use crate::client::Kind;
+use crate::client::RequestKind;
 use serde_json::{json, Value};
 
 /// A complete configuration.
@@ -26,7 +26,7 @@
     /// Prefix of the paths that the route matches.
     pub path_prefix: String,
     /// Kind of the route's requests.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// Time limit of a request, in milliseconds.
     pub timeout_ms: u64,
     /// Latency target to the first event or the response, in milliseconds.
@@ -105,7 +105,13 @@
 impl RoutePlan {
     /// A route with one service and default limits.
     #[must_use]
-    pub fn new(name: &str, host: &str, path_prefix: &str, kind: Kind, backend: &str) -> RoutePlan {
+    pub fn new(
+        name: &str,
+        host: &str,
+        path_prefix: &str,
+        kind: RequestKind,
+        backend: &str,
+    ) -> RoutePlan {
         RoutePlan {
             name: name.to_owned(),
             host: host.to_owned(),
@@ -148,7 +154,7 @@
                 route["backends"] = json!(candidates);
             }
         }
-        if let Kind::Streaming { resumable } = self.kind {
+        if let RequestKind::Streaming { resumable } = self.kind {
             route["persisted"] = json!(self.persisted);
             route["retention_s"] = json!(self.retention_s);
             route["sticky"] = json!(true);
@@ -242,10 +248,10 @@
     })
 }
 
-fn kind_name(kind: Kind) -> &'static str {
+fn kind_name(kind: RequestKind) -> &'static str {
     match kind {
-        Kind::ReadOnly => "read_only",
-        Kind::Mutating => "mutating",
-        Kind::Streaming { .. } => "streaming",
+        RequestKind::ReadOnly => "read_only",
+        RequestKind::Mutating => "mutating",
+        RequestKind::Streaming { .. } => "streaming",
     }
 }
--- a/crates/testing/emulator/src/experiment/faults/execute.rs
+++ b/crates/testing/emulator/src/experiment/faults/execute.rs
@@ -3,7 +3,7 @@
 use super::step::{ScheduledStep, Step};
 use super::Faults;
 use anyhow::ensure;
-use dunespur_emulator::client::Kind;
+use dunespur_emulator::client::RequestKind;
 use dunespur_emulator::configuration::{patch, RoutePlan};
 use dunespur_emulator::scene::{Scene, HOST, TOOLS};
 use dunespur_emulator::server::ServerFault;
@@ -183,7 +183,13 @@
     };
     let generation = current.generation + 2;
     let name = format!("added-{generation}");
-    let route = RoutePlan::new(&name, HOST, &format!("/{name}/"), Kind::ReadOnly, TOOLS);
+    let route = RoutePlan::new(
+        &name,
+        HOST,
+        &format!("/{name}/"),
+        RequestKind::ReadOnly,
+        TOOLS,
+    );
     let body = patch(generation, std::slice::from_ref(&route), &[]);
     scene
         .configurations
--- a/crates/testing/emulator/src/experiment/file.rs
+++ b/crates/testing/emulator/src/experiment/file.rs
@@ -150,7 +150,7 @@
 pub struct RequestClass {
     pub name: String,
     pub rate: f64,
-    pub kind: RequestKind,
+    pub kind: RequestClassKind,
     #[serde(rename = "aim_ms")]
     pub target_ms: u64,
     pub deadline_ms: u64,
@@ -161,7 +161,7 @@
 /// Kind of the requests of a class.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum RequestKind {
+pub enum RequestClassKind {
     ReadOnly,
     Mutating,
 }
--- a/crates/testing/emulator/src/experiment/hunt.rs
+++ b/crates/testing/emulator/src/experiment/hunt.rs
@@ -1,7 +1,7 @@
 //! Experiments drawn at random from a seed: machines, load and faults. Losses of core members and stores never overlap.
 
 use super::file::{
-    Experiment, Fault, Machines, ModelService, ProgramClass, RequestClass, RequestKind,
+    Experiment, Fault, Machines, ModelService, ProgramClass, RequestClass, RequestClassKind,
 };
 use super::file::{FaultKind, Services, ToolService};
 
@@ -105,7 +105,7 @@
     RequestClass {
         name: "lookup".to_owned(),
         rate: 10.0,
-        kind: RequestKind::ReadOnly,
+        kind: RequestClassKind::ReadOnly,
         target_ms: 150,
         deadline_ms: 1_200,
         retries: 1,
--- a/crates/testing/emulator/src/experiment/traffic.rs
+++ b/crates/testing/emulator/src/experiment/traffic.rs
@@ -1,9 +1,9 @@
 //! The load: programs and requests start at their classes' rates, independent of how long earlier ones take.
 
-use super::file::{Experiment, ProgramClass, RequestClass, RequestKind};
-use dunespur_emulator::client::{Client, Kind, RequestSpec};
+use super::file::{Experiment, ProgramClass, RequestClass, RequestClassKind};
+use dunespur_emulator::client::{Client, RequestKind, RequestSpec};
 use dunespur_emulator::program::{
-    play, Conversation, End, ProgramPlan, SharedPrefix, SubAgents, Tool,
+    play, Conversation, ProgramEnd, ProgramPlan, SharedPrefix, SubAgents, Tool,
 };
 use dunespur_emulator::scene::{
     usual_program, Scene, HOST, LOOKUP, PERSISTED_TURNS, RECORD, TURNS,
@@ -195,14 +195,14 @@
     )
     .await;
     let kind = match played.end {
-        End::Finished if played.took_ms <= program.target_ms => OutcomeKind::InTime,
-        End::Finished => OutcomeKind::Late,
-        End::Spent => OutcomeKind::Refused,
-        End::Failed { status } => failure_outcome(status),
+        ProgramEnd::Finished if played.took_ms <= program.target_ms => OutcomeKind::InTime,
+        ProgramEnd::Finished => OutcomeKind::Late,
+        ProgramEnd::Spent => OutcomeKind::Refused,
+        ProgramEnd::Failed { status } => failure_outcome(status),
     };
     let first_ms = played.turns.iter().map(|turn| turn.first_ms).collect();
-    let conversation =
-        Some(played.conversation).filter(|_| program.persisted && played.end == End::Finished);
+    let conversation = Some(played.conversation)
+        .filter(|_| program.persisted && played.end == ProgramEnd::Finished);
     Outcome {
         class,
         kind,
@@ -214,9 +214,9 @@
 
 async fn send_request(class: usize, request: &RequestClass, client: &Client) -> Outcome {
     let mut spec = match request.kind {
-        RequestKind::ReadOnly => RequestSpec::get(HOST, &format!("{LOOKUP}x")),
-        RequestKind::Mutating => {
-            RequestSpec::post(HOST, &format!("{RECORD}x"), Kind::Mutating, "once")
+        RequestClassKind::ReadOnly => RequestSpec::get(HOST, &format!("{LOOKUP}x")),
+        RequestClassKind::Mutating => {
+            RequestSpec::post(HOST, &format!("{RECORD}x"), RequestKind::Mutating, "once")
         }
     };
     spec.deadline_ms = request.deadline_ms;
@@ -251,13 +251,13 @@
     };
     let lookup = Tool {
         target: format!("{LOOKUP}x"),
-        kind: Kind::ReadOnly,
+        kind: RequestKind::ReadOnly,
         deadline_ms: 1_200,
         retries: 1,
     };
     let record = Tool {
         target: format!("{RECORD}x"),
-        kind: Kind::Mutating,
+        kind: RequestKind::Mutating,
         deadline_ms: 3_000,
         retries: 1,
     };
--- a/crates/testing/emulator/src/heartbeat.rs
+++ b/crates/testing/emulator/src/heartbeat.rs
@@ -1,7 +1,7 @@
 //! Registration of a server with the gateways: announces by heartbeats that the server is ready, draining or leaving.
 //! Each message is sent to one gateway after the other until one acknowledges it.
 
-use crate::client::call::{call, Call, CallAnswer, CallError};
+use crate::client::call::{call, Call, CallError, CallResponse};
 use crate::record::Acknowledged;
 use crate::server::{Identity, ServerHandle};
 use serde_json::json;
@@ -287,7 +287,7 @@
     body.to_string()
 }
 
-async fn call_with_timeout(address: SocketAddr, message: &Call) -> Result<CallAnswer, CallError> {
+async fn call_with_timeout(address: SocketAddr, message: &Call) -> Result<CallResponse, CallError> {
     call(address, message, ACKNOWLEDGEMENT_TIMEOUT).await
 }
 
--- a/crates/testing/emulator/src/operator.rs
+++ b/crates/testing/emulator/src/operator.rs
@@ -1,7 +1,7 @@
 //! The operator: sends orders to the gateways. An order is repeated unchanged at one gateway after the other until a
 //! response says clearly whether the order was accepted.
 
-use crate::client::call::{call, Call, CallAnswer};
+use crate::client::call::{call, Call, CallResponse};
 use crate::clock::Clock;
 use crate::record::{Acknowledged, Record};
 use crate::wire::name;
@@ -34,7 +34,7 @@
 
 /// The clear response to an order.
 #[derive(Clone, Debug)]
-pub struct OrderAnswer {
+pub struct OrderResponse {
     /// HTTP status.
     pub status: u16,
     /// Body of the response.
@@ -93,7 +93,7 @@
         base: u64,
         body: &Value,
         limit: Duration,
-    ) -> Result<OrderAnswer, NoClearResponse> {
+    ) -> Result<OrderResponse, NoClearResponse> {
         self.configure("/api/config/replace", base, body, limit)
             .await
     }
@@ -108,7 +108,7 @@
         base: u64,
         body: &Value,
         limit: Duration,
-    ) -> Result<OrderAnswer, NoClearResponse> {
+    ) -> Result<OrderResponse, NoClearResponse> {
         self.configure("/api/config/patch", base, body, limit).await
     }
 
@@ -123,7 +123,7 @@
         base: u64,
         body: impl Into<Bytes>,
         limit: Duration,
-    ) -> Result<OrderAnswer, NoClearResponse> {
+    ) -> Result<OrderResponse, NoClearResponse> {
         let mut order = Call::post(target, body);
         order.headers.push(name::BASE_VERSION, base.to_string());
         self.order(&order, limit).await
@@ -134,7 +134,7 @@
     /// # Errors
     ///
     /// [`NoClearResponse`] where no clear response came within `limit`.
-    pub async fn get(&mut self, limit: Duration) -> Result<OrderAnswer, NoClearResponse> {
+    pub async fn get(&mut self, limit: Duration) -> Result<OrderResponse, NoClearResponse> {
         self.order(&Call::get("/api/config/get"), limit).await
     }
 
@@ -148,7 +148,7 @@
         node: &str,
         deadline_s: u64,
         limit: Duration,
-    ) -> Result<OrderAnswer, NoClearResponse> {
+    ) -> Result<OrderResponse, NoClearResponse> {
         let body = serde_json::json!({ "deadline_s": deadline_s }).to_string();
         self.order(
             &Call::post(format!("/api/retire/{node}/start"), body),
@@ -166,7 +166,7 @@
         &mut self,
         node: &str,
         limit: Duration,
-    ) -> Result<OrderAnswer, NoClearResponse> {
+    ) -> Result<OrderResponse, NoClearResponse> {
         self.order(&Call::get(format!("/api/retire/{node}/get")), limit)
             .await
     }
@@ -177,7 +177,7 @@
         base: u64,
         body: &Value,
         limit: Duration,
-    ) -> Result<OrderAnswer, NoClearResponse> {
+    ) -> Result<OrderResponse, NoClearResponse> {
         let requested_ms = self.clock.now_ms();
         let answer = self.send_raw(target, base, body.to_string(), limit).await?;
         if answer.status == 200 {
@@ -196,7 +196,7 @@
         &mut self,
         order: &Call,
         limit: Duration,
-    ) -> Result<OrderAnswer, NoClearResponse> {
+    ) -> Result<OrderResponse, NoClearResponse> {
         let started = Instant::now();
         let mut failure = NoClearResponse {
             last: None,
@@ -213,7 +213,7 @@
                 if is_clear(answer.status, rejections) {
                     let took_ms = started.elapsed().as_millis() as u64;
                     let attempts = failure.attempts;
-                    return Ok(OrderAnswer {
+                    return Ok(OrderResponse {
                         status: answer.status,
                         body: answer.body,
                         took_ms,
@@ -230,7 +230,7 @@
 }
 
 /// Calls the gateway at `address` and follows redirections; `None` where no usable response came.
-async fn call_with_redirections(mut address: SocketAddr, order: &Call) -> Option<CallAnswer> {
+async fn call_with_redirections(mut address: SocketAddr, order: &Call) -> Option<CallResponse> {
     let mut order = order.clone();
     for _ in 0..=MAX_REDIRECTIONS {
         let answer = call(address, &order, CALL_TIMEOUT).await.ok()?;
--- a/crates/testing/emulator/src/program.rs
+++ b/crates/testing/emulator/src/program.rs
@@ -1,7 +1,7 @@
 //! Agent programs: a conversation of turns, tool calls between the turns, and concurrent sub-agents, all under one token
 //! budget.
 
-use crate::client::{Client, Kind, RequestSpec, Served, Turn};
+use crate::client::{Client, RequestKind, RequestSpec, Served, TurnHeaders};
 use crate::digest::Digester;
 use crate::identity::RequestId;
 use bytes::{Bytes, BytesMut};
@@ -31,7 +31,7 @@
     /// Path of the tool's calls.
     pub target: String,
     /// Kind of the tool's calls.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// Time limit of one call, in milliseconds.
     pub deadline_ms: u64,
     /// Maximum number of attempts of a call after the first.
@@ -92,7 +92,7 @@
 
 /// How a program ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum ProgramEnd {
     /// All turns and tool calls succeeded.
     Finished,
     /// A turn was answered with 402: the budget is spent.
@@ -110,7 +110,7 @@
     /// Id of the program.
     pub program: String,
     /// How the program ended.
-    pub end: End,
+    pub end: ProgramEnd,
     /// Completed turns of all conversations.
     pub turns: Vec<CompletedTurn>,
     /// Time from the program's start to its end, in milliseconds.
@@ -211,7 +211,7 @@
         let mut spec = RequestSpec::post(
             &plan.host,
             &plan.target,
-            Kind::Streaming { resumable: false },
+            RequestKind::Streaming { resumable: false },
             body,
         );
         spec.expected = Some(expected);
@@ -222,7 +222,7 @@
         spec.program = Some(self.program.clone());
         spec.session = Some(self.session.clone());
         spec.finish_ms = Some(self.finish_ms());
-        spec.turn = Some(Turn {
+        spec.turn = Some(TurnHeaders {
             model: plan.model.clone(),
             prompt_tokens: self.prompt_tokens + plan.input_tokens,
             max_tokens: plan.max_tokens,
@@ -278,7 +278,7 @@
 
     fn tool_request(&self, tool: &Tool) -> RequestSpec {
         let mut spec = match tool.kind {
-            Kind::ReadOnly => RequestSpec::get(&self.plan.host, &tool.target),
+            RequestKind::ReadOnly => RequestSpec::get(&self.plan.host, &tool.target),
             kind => RequestSpec::post(
                 &self.plan.host,
                 &tool.target,
@@ -301,7 +301,7 @@
     let mut conversation = Conversation::new(client, plan);
     let mut turns = Vec::new();
     let end = match main_conversation(client, &mut conversation, &mut turns).await {
-        Ok(()) => End::Finished,
+        Ok(()) => ProgramEnd::Finished,
         Err(end) => end,
     };
     let took_ms = started.elapsed().as_millis() as u64;
@@ -318,7 +318,7 @@
     client: &Client,
     conversation: &mut Conversation,
     turns: &mut Vec<CompletedTurn>,
-) -> Result<(), End> {
+) -> Result<(), ProgramEnd> {
     let plan = conversation.plan.clone();
     for number in 1..=plan.turns {
         turns.push(turn_with_restarts(client, conversation, number).await?);
@@ -338,7 +338,7 @@
     client: &Client,
     conversation: &mut Conversation,
     number: u32,
-) -> Result<CompletedTurn, End> {
+) -> Result<CompletedTurn, ProgramEnd> {
     let input = input(&conversation.session, number, conversation.plan.input_bytes);
     for restart in 0..=MAX_TURN_RESTARTS {
         let served = conversation.turn(client, &input).await;
@@ -354,22 +354,22 @@
             });
         }
         match served.status() {
-            Some(402) => return Err(End::Spent),
+            Some(402) => return Err(ProgramEnd::Spent),
             Some(status @ (400 | 401 | 403 | 404 | 413)) => {
-                return Err(End::Failed {
+                return Err(ProgramEnd::Failed {
                     status: Some(status),
                 })
             }
-            status if restart == MAX_TURN_RESTARTS => return Err(End::Failed { status }),
+            status if restart == MAX_TURN_RESTARTS => return Err(ProgramEnd::Failed { status }),
             _ => {}
         }
         let backoff = RESTART_BACKOFF_MS + client.identities().below(RESTART_JITTER_MS);
         sleep(Duration::from_millis(backoff)).await;
     }
-    Err(End::Failed { status: None })
+    Err(ProgramEnd::Failed { status: None })
 }
 
-async fn call_tools(client: &Client, conversation: &Conversation) -> Result<(), End> {
+async fn call_tools(client: &Client, conversation: &Conversation) -> Result<(), ProgramEnd> {
     let mut calls = JoinSet::new();
     for tool in &conversation.plan.tools {
         let (client, spec) = (client.clone(), conversation.tool_request(tool));
@@ -379,11 +379,11 @@
         match served {
             Ok(served) if served.succeeded() => {}
             Ok(served) => {
-                return Err(End::Failed {
+                return Err(ProgramEnd::Failed {
                     status: served.status(),
                 })
             }
-            Err(_) => return Err(End::Failed { status: None }),
+            Err(_) => return Err(ProgramEnd::Failed { status: None }),
         }
     }
     Ok(())
@@ -393,7 +393,7 @@
     client: &Client,
     conversation: &Conversation,
     agents: SubAgents,
-) -> Result<Vec<CompletedTurn>, End> {
+) -> Result<Vec<CompletedTurn>, ProgramEnd> {
     let mut conversations = JoinSet::new();
     for _ in 0..agents.count {
         let (client, conversation) = (client.clone(), conversation.branch(client));
@@ -401,7 +401,7 @@
     }
     let mut turns = Vec::new();
     while let Some(ended) = conversations.join_next().await {
-        turns.extend(ended.unwrap_or(Err(End::Failed { status: None }))?);
+        turns.extend(ended.unwrap_or(Err(ProgramEnd::Failed { status: None }))?);
     }
     Ok(turns)
 }
@@ -410,7 +410,7 @@
     client: &Client,
     mut conversation: Conversation,
     count: u32,
-) -> Result<Vec<CompletedTurn>, End> {
+) -> Result<Vec<CompletedTurn>, ProgramEnd> {
     let mut turns = Vec::new();
     for number in 1..=count {
         turns.push(turn_with_restarts(client, &mut conversation, number).await?);
--- a/crates/testing/emulator/src/scene/plan.rs
+++ b/crates/testing/emulator/src/scene/plan.rs
@@ -1,6 +1,6 @@
 //! Plans of scenes, and the default configuration and program of the tests.
 
-use crate::client::Kind;
+use crate::client::RequestKind;
 use crate::configuration::{ConfigurationPlan, EnginePlan, LimitsPlan, RoutePlan, ServicePlan};
 use crate::engine::EngineSettings;
 use crate::plain::PlainSettings;
@@ -82,10 +82,10 @@
 /// are stored, turns that are not, read-only tool calls and mutating tool calls.
 #[must_use]
 pub fn usual_configuration() -> ConfigurationPlan {
-    let streaming = Kind::Streaming { resumable: false };
+    let streaming = RequestKind::Streaming { resumable: false };
     let mut persisted = RoutePlan::new("kept", HOST, PERSISTED_TURNS, streaming, MODELS);
     persisted.persisted = true;
-    let mut lookup = RoutePlan::new("lookup", HOST, LOOKUP, Kind::ReadOnly, TOOLS);
+    let mut lookup = RoutePlan::new("lookup", HOST, LOOKUP, RequestKind::ReadOnly, TOOLS);
     lookup.retries = 2;
     let engine = EnginePlan {
         slots: 8,
@@ -99,7 +99,7 @@
             persisted,
             RoutePlan::new("turns", HOST, TURNS, streaming, MODELS),
             lookup,
-            RoutePlan::new("record", HOST, RECORD, Kind::Mutating, TOOLS),
+            RoutePlan::new("record", HOST, RECORD, RequestKind::Mutating, TOOLS),
         ],
         services: vec![
             ServicePlan {
--- a/crates/testing/emulator/tests/judge.rs
+++ b/crates/testing/emulator/tests/judge.rs
@@ -1,7 +1,7 @@
 //! Tests of the judge: each rule is reported when a record breaks it, and no other rule is.
 
 use bytes::Bytes;
-use dunespur_emulator::client::Kind;
+use dunespur_emulator::client::RequestKind;
 use dunespur_emulator::configuration::{ConfigurationPlan, LimitsPlan, RoutePlan};
 use dunespur_emulator::judge::{judge, JudgeSettings, Rule, Span, CONFIG_APPLY_MS, DRAIN_MS};
 use dunespur_emulator::record::{
@@ -14,13 +14,13 @@
 const HOST: &str = "h.example";
 
 fn settings() -> JudgeSettings {
-    let streaming = Kind::Streaming { resumable: false };
+    let streaming = RequestKind::Streaming { resumable: false };
     let mut persisted_route = RoutePlan::new("kept", HOST, "/kept/", streaming, "models");
     persisted_route.persisted = true;
     let routes = vec![
         persisted_route,
-        RoutePlan::new("record", HOST, "/record/", Kind::Mutating, "tools"),
-        RoutePlan::new("lookup", HOST, "/lookup/", Kind::ReadOnly, "tools"),
+        RoutePlan::new("record", HOST, "/record/", RequestKind::Mutating, "tools"),
+        RoutePlan::new("lookup", HOST, "/lookup/", RequestKind::ReadOnly, "tools"),
     ];
     JudgeSettings::of(vec![version(1, routes)])
 }
@@ -459,8 +459,8 @@
 /// Version 1 routes `/record/` to `tools`; version 2 routes it to `models`, removes `/lookup/` and adds `/new/`.
 fn two_versions() -> JudgeSettings {
     let first = settings().versions.remove(0);
-    let moved = RoutePlan::new("record", HOST, "/record/", Kind::Mutating, "models");
-    let new = RoutePlan::new("new", HOST, "/new/", Kind::ReadOnly, "tools");
+    let moved = RoutePlan::new("record", HOST, "/record/", RequestKind::Mutating, "models");
+    let new = RoutePlan::new("new", HOST, "/new/", RequestKind::ReadOnly, "tools");
     let second = first.patched(2, &[moved, new], &["lookup"]);
     JudgeSettings::of(vec![first, second])
 }
--- a/crates/testing/emulator/tests/servers.rs
+++ b/crates/testing/emulator/tests/servers.rs
@@ -1,7 +1,7 @@
 //! Tests of the emulated servers: the emulator's clients call them directly, without the system between them.
 
 use dunespur_emulator::client::call::{call, Call};
-use dunespur_emulator::client::{Client, Kind, RequestSpec, Turn};
+use dunespur_emulator::client::{Client, RequestKind, RequestSpec, TurnHeaders};
 use dunespur_emulator::configuration::{ConfigurationPlan, LimitsPlan, RoutePlan};
 use dunespur_emulator::engine::{EngineServer, EngineSettings};
 use dunespur_emulator::judge::{judge, JudgeSettings};
@@ -70,9 +70,9 @@
     }
 
     fn expect_no_violation(&self) {
-        let streaming = Kind::Streaming { resumable: false };
+        let streaming = RequestKind::Streaming { resumable: false };
         let routes = vec![
-            RoutePlan::new("any", HOST, "/", Kind::ReadOnly, "b"),
+            RoutePlan::new("any", HOST, "/", RequestKind::ReadOnly, "b"),
             RoutePlan::new("turns", HOST, "/turns/", streaming, "b"),
         ];
         let version = ConfigurationPlan {
@@ -89,7 +89,7 @@
 fn mutating_request(target: &str) -> RequestSpec {
     RequestSpec {
         retries: 0,
-        ..RequestSpec::post(HOST, target, Kind::Mutating, "body")
+        ..RequestSpec::post(HOST, target, RequestKind::Mutating, "body")
     }
 }
 
@@ -98,11 +98,11 @@
     let mut spec = RequestSpec::post(
         HOST,
         "/turns/x",
-        Kind::Streaming { resumable: false },
+        RequestKind::Streaming { resumable: false },
         "prompt",
     );
     spec.retries = 0;
-    spec.turn = Some(Turn {
+    spec.turn = Some(TurnHeaders {
         model: "m".to_owned(),
         prompt_tokens: 100,
         max_tokens,
