--- a/crates/testing/emulator/src/experiment/stage.rs
+++ b/crates/testing/emulator/src/experiment/scene_plan.rs
@@ -1,27 +1,27 @@
-//! The scene of an experiment.
+//! The scene plan of an experiment.
 
 use super::file::Experiment;
 use dunespur_emulator::configuration::ConfigurationPlan;
-use dunespur_emulator::engine::{EngineSettings, Speeds};
+use dunespur_emulator::engine::{EngineSettings, StepParameters};
 use dunespur_emulator::plain::PlainSettings;
 use dunespur_emulator::scene::{usual_configuration, ScenePlan, MODELS};
 use dunespur_emulator::server::ConnectionSettings;
 use dunespur_emulator::system::{MachinePlan, Role};
 use std::time::Duration;
 
-/// Machines, servers and configuration as the file wants them.
-pub fn plan(experiment: &Experiment) -> ScenePlan {
+/// Plan of a scene with the machines, servers and configuration that the experiment's file describes.
+pub fn scene_plan(experiment: &Experiment) -> ScenePlan {
     let services = &experiment.services;
     let models = &services.models;
     let tools = &services.tools;
-    let speeds = Speeds {
+    let step_parameters = StepParameters {
         step_us: models.step_us,
         per_running_us: models.per_running_us,
-        read_per_ms: models.read_per_ms,
+        prefill_tokens_per_ms: models.read_per_ms,
         prefill_chunk_tokens: models.prefill_chunk_tokens,
     };
     let engine = EngineSettings {
-        speeds,
+        step_parameters,
         queue: models.queue,
         memory_tokens: models.memory_tokens,
         chunk_tokens: models.chunk_tokens,
@@ -77,8 +77,8 @@
     let mut configuration = usual_configuration();
     let services = &experiment.services;
     for service in &mut configuration.services {
-        let models = service.name == MODELS;
-        service.max_conns = if models {
+        let is_models = service.name == MODELS;
+        service.max_conns = if is_models {
             services.models.max_connections
         } else {
             services.tools.max_connections
