--- a/crates/gateway/gateway/tests/attempts.rs
+++ b/crates/gateway/gateway/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! Deliveries whose connection breaks, comes up late or says too much, over loopback sockets.
+//! Attempts whose connection breaks, connects late or receives surplus bytes, over loopback sockets.
 
 mod common;
 
@@ -10,32 +10,35 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// Three effects: each with its operation and whether it may be sent again after it may have run.
+/// The three kinds of operations: method, name, and whether it may be repeated after it may have run.
 const EFFECTS: [(&str, &str, bool); 3] = [
     ("GET", "read", true),
     ("POST", "write", true),
     ("POST", "once", false),
 ];
 
-/// A second copy of an answer comes some milliseconds after it, and would be taken for the answer to the next
-/// delivery if that was written by then. Until then the connection is a resting one, on which bytes end it.
+/// A duplicate response arrives some milliseconds after the response. Were the next request already written, the
+/// duplicate would be taken for its response; on an idle connection, surplus bytes close the connection.
 #[test]
-fn a_connection_rests_between_an_answer_and_the_next_delivery() {
+fn a_connection_stays_idle_between_a_response_and_the_next_attempt() {
     let gaps: Arc<Mutex<Vec<Duration>>> = Arc::default();
-    let seen = gaps.clone();
-    let server = StandIn::start(Mood::Well, move |_, mut stream| {
-        let mut answered = None::<Instant>;
-        while message(&mut stream).is_some() {
-            seen.lock().unwrap().extend(answered.map(|a| a.elapsed()));
-            // Before it is on its way: this thread may stand still right after.
-            answered = Some(Instant::now());
-            _ = stream.write_all(ok("served").as_bytes());
+    let received = gaps.clone();
+    let server = FakeService::start(Behavior::Normal, move |_, mut stream| {
+        let mut responded_at = None::<Instant>;
+        while read_message(&mut stream).is_some() {
+            received
+                .lock()
+                .unwrap()
+                .extend(responded_at.map(|time| time.elapsed()));
+            // Taken before the write, since this thread may be suspended right after it.
+            responded_at = Some(Instant::now());
+            _ = stream.write_all(ok_response("served").as_bytes());
         }
     });
-    let (gateway, _discovery, _counter) = Gateway::before(&[server.address]);
-    (0..12).for_each(|_| assert!(gateway.read().ends_with("served")));
+    let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
+    (0..12).for_each(|_| assert!(gateway.send_read().ends_with("served")));
     let gaps = gaps.lock().unwrap();
-    assert!(gaps.len() > 5, "{gaps:?}: a connection is used again");
+    assert!(gaps.len() > 5, "connections were hardly reused: {gaps:?}");
     assert!(
         gaps.iter().all(|&g| g >= Duration::from_millis(10)),
         "{gaps:?}"
@@ -43,53 +46,55 @@
 }
 
 #[test]
-fn a_connection_that_idled_too_long_is_not_used_again_though_no_sweep_came() {
-    let server = StandIn::server(Mood::Well);
-    let (gateway, _discovery, _counter) = Gateway::before(&[server.address]);
-    let mut resting = gateway.rested();
-    gateway.paused(|| {
-        // The server would close it after a second; three quarters of that are what it is trusted for.
+fn an_expired_connection_is_not_reused_without_a_sweep() {
+    let server = FakeService::server(Behavior::Normal);
+    let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
+    let mut idle_client = gateway.idle_client();
+    gateway.while_stopped(|| {
+        // The server would close the connection after one second; the gateway reuses it for three quarters of that.
         sleep(Duration::from_millis(850));
-        resting
+        idle_client
             .write_all(invocation("GET", "read", 2000, "").as_bytes())
             .unwrap();
     });
-    assert!(message(&mut resting).unwrap().ends_with("served"));
+    assert!(read_message(&mut idle_client).unwrap().ends_with("served"));
     assert_eq!(
         server.connections.load(Ordering::SeqCst),
         2,
-        "over a new one"
+        "the expired connection was reused"
     );
 }
 
 #[test]
-fn a_connection_that_idled_too_long_is_not_used_between_two_sweeps() {
-    // Trusted for six seconds of eight; a sweep comes each second from the start on.
+fn an_expired_connection_is_not_reused_between_two_sweeps() {
+    // The gateway reuses the connection for six of eight seconds; a sweep runs every second from the start.
     let settings = SETTINGS.replace("\"keepaliveS\":1.0", "\"keepaliveS\":8.0");
-    let server = StandIn::server(Mood::Well);
-    let began = Instant::now();
-    let (gateway, _discovery, _counter) = Gateway::before_by(&[server.address], &settings);
-    let at = |seconds: f64| sleep(Duration::from_secs_f64(seconds).saturating_sub(began.elapsed()));
-    at(0.2);
-    assert!(gateway.read().ends_with("served"));
-    // Six seconds and some after it; the last sweep was a moment too early for it, the next one is to come.
-    at(6.6);
+    let server = FakeService::server(Behavior::Normal);
+    let started_at = Instant::now();
+    let (gateway, _discovery, _counter) = Gateway::with_settings(&[server.address], &settings);
+    let sleep_until =
+        |seconds: f64| sleep(Duration::from_secs_f64(seconds).saturating_sub(started_at.elapsed()));
+    sleep_until(0.2);
+    assert!(gateway.send_read().ends_with("served"));
+    // Just over six seconds later: the last sweep was too early to close the connection, and the next one is still to
+    // come.
+    sleep_until(6.6);
     assert_eq!(
-        server.ended.load(Ordering::SeqCst),
+        server.closed_connections.load(Ordering::SeqCst),
         0,
-        "no sweep has closed it"
+        "a sweep closed the connection too early"
     );
-    assert!(gateway.read().ends_with("served"));
+    assert!(gateway.send_read().ends_with("served"));
     assert_eq!(
         server.connections.load(Ordering::SeqCst),
         2,
-        "over a new one"
+        "the expired connection was reused"
     );
 }
 
 #[test]
-fn a_window_for_repeats_that_ends_while_the_connection_comes_up_is_heeded() {
-    let (listener, fills) = full_listener();
+fn nothing_is_sent_after_the_repeat_window_ends_during_the_connect() {
+    let (listener, backlog_filler) = full_listener();
     let address = listener.local_addr().unwrap();
     let settings = SETTINGS
         .replace("\"dialTimeoutS\":0.25", "\"dialTimeoutS\":3")
@@ -99,38 +104,40 @@
         )
         .replace("\"windowS\":2.5", "\"windowS\":0.6");
     assert!(settings.contains("0.6}"));
-    // The first message is reset once the listener is full again; it is full for longer than the window
-    // lasts, then the dial comes up and what comes over it is answered.
+    // Resets the first message once the backlog is full again. The backlog stays full for longer than the repeat
+    // window; then the connection is accepted, and any message on it gets a response.
     let served = spawn(move || {
         drop(listener.accept().unwrap());
-        drop(fills);
+        drop(backlog_filler);
         let (mut first, _) = listener.accept().unwrap();
-        assert!(message(&mut first).is_some());
-        let fills = TcpStream::connect(address).unwrap();
-        ends_by_reset(&first);
+        assert!(read_message(&mut first).is_some());
+        let backlog_filler = TcpStream::connect(address).unwrap();
+        reset_on_close(&first);
         drop(first);
         sleep(Duration::from_millis(700));
-        drop((listener.accept().unwrap(), fills));
+        drop((listener.accept().unwrap(), backlog_filler));
         let (mut late, _) = listener.accept().unwrap();
-        let came = message(&mut late).is_some();
-        _ = late.write_all(ok("served").as_bytes());
-        came
+        let received_request = read_message(&mut late).is_some();
+        _ = late.write_all(ok_response("served").as_bytes());
+        received_request
     });
-    let (gateway, _discovery, _counter) = Gateway::before_by(&[address], &settings);
-    let answer = gateway.ask(&invocation("POST", "write", 4000, "")).unwrap();
+    let (gateway, _discovery, _counter) = Gateway::with_settings(&[address], &settings);
+    let response = gateway
+        .send(&invocation("POST", "write", 4000, ""))
+        .unwrap();
     assert!(
-        answer.starts_with("HTTP/1.1 502 "),
-        "it may have run: {answer}"
+        response.starts_with("HTTP/1.1 502 "),
+        "expected 502, since the request may have run: {response}"
     );
     drop(gateway);
     assert!(
         !served.join().unwrap(),
-        "it is not sent again once the window is over"
+        "the request was sent again after the window"
     );
 }
 
 #[test]
-fn a_server_that_vanishes_in_its_answer_is_followed_only_where_that_is_harmless() {
+fn after_a_reset_within_a_response_only_repeatable_operations_are_retried() {
     let begun = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nser";
     let parts = [
         begun,
@@ -138,71 +145,71 @@
         "HTTP/1.1 200 OK\r\n\r\nserved",
         "HTTP/1.1 200 OK\r\n\r\n",
     ];
-    for (part, (method, operation, again)) in parts
+    for (part, (method, operation, repeatable)) in parts
         .iter()
         .flat_map(|p| EFFECTS.map(|e| (p.to_string(), e)))
     {
-        let server = StandIn::scripted(move |me, _, stream| {
-            if me.seen() > 1 {
-                return stream.write_all(ok("served").as_bytes()).is_ok();
+        let server = FakeService::scripted(move |service, _, stream| {
+            if service.received_count() > 1 {
+                return stream.write_all(ok_response("served").as_bytes()).is_ok();
             }
             stream.write_all(part.as_bytes()).unwrap();
-            // The part is on its way before the reset, which would overtake it here and there.
+            // Waits until the partial response is delivered; the reset might otherwise overtake it.
             sleep(Duration::from_millis(30));
-            ends_by_reset(stream);
+            reset_on_close(stream);
             false
         });
-        let (gateway, _discovery, _counter) = Gateway::before(&[server.address]);
-        let answer = gateway
-            .ask(&invocation(method, operation, 2000, ""))
+        let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
+        let response = gateway
+            .send(&invocation(method, operation, 2000, ""))
             .unwrap();
-        if again {
+        if repeatable {
             assert!(
-                answer.ends_with("served") && server.seen() == 2,
-                "{operation}: {answer}"
+                response.ends_with("served") && server.received_count() == 2,
+                "{operation}: {response}"
             );
         } else {
             assert!(
-                answer.starts_with("HTTP/1.1 502 ") && server.seen() == 1,
-                "{operation}: {answer}"
+                response.starts_with("HTTP/1.1 502 ") && server.received_count() == 1,
+                "{operation}: {response}"
             );
         }
     }
 }
 
 #[test]
-fn an_answer_without_length_ends_with_its_connection() {
-    let server = StandIn::scripted(|_, _, stream| {
+fn a_response_without_length_ends_with_its_connection() {
+    let server = FakeService::scripted(|_, _, stream| {
         _ = stream.write_all(b"HTTP/1.1 200 OK\r\n\r\nser");
         sleep(Duration::from_millis(30));
         _ = stream.write_all(b"ved");
         _ = stream.shutdown(Shutdown::Write);
         true
     });
-    let (gateway, _discovery, _counter) = Gateway::before(&[server.address]);
+    let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
     for (method, operation, _) in EFFECTS {
-        let answer = gateway
-            .ask(&invocation(method, operation, 2000, ""))
+        let response = gateway
+            .send(&invocation(method, operation, 2000, ""))
             .unwrap();
         assert!(
-            answer.starts_with("HTTP/1.1 200 ") && answer.ends_with("served"),
-            "{answer}"
+            response.starts_with("HTTP/1.1 200 ") && response.ends_with("served"),
+            "{response}"
         );
     }
-    assert_eq!(server.seen(), 3);
+    assert_eq!(server.received_count(), 3);
 }
 
 #[test]
-fn an_answer_that_never_ends_costs_its_time_and_no_more() {
+fn an_endless_response_is_cut_off_at_the_deadline() {
     let bodies = [
         "HTTP/1.1 200 OK\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n",
         "HTTP/1.1 2",
     ];
     for begin in bodies {
-        let server = StandIn::scripted(move |me, _, stream| {
-            if me.mood() == Mood::Well {
-                return stream.write_all(ok("served").as_bytes()).is_ok();
+        let server = FakeService::scripted(move |service, _, stream| {
+            if service.behavior() == Behavior::Normal {
+                return stream.write_all(ok_response("served").as_bytes()).is_ok();
             }
             _ = stream.write_all(begin.as_bytes());
             while stream.write_all(b"0").is_ok() {
@@ -210,95 +217,112 @@
             }
             false
         });
-        let (gateway, _discovery, _counter) = Gateway::before(&[server.address]);
-        *server.mood.lock().unwrap() = Mood::Slow;
-        let began = Instant::now();
-        let answer = gateway.ask(&invocation("POST", "once", 600, "")).unwrap();
+        let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
+        *server.behavior.lock().unwrap() = Behavior::Slow;
+        let started_at = Instant::now();
+        let response = gateway.send(&invocation("POST", "once", 600, "")).unwrap();
         assert!(
-            answer.starts_with("HTTP/1.1 502 ") && began.elapsed() < Duration::from_millis(700)
+            response.starts_with("HTTP/1.1 502 ")
+                && started_at.elapsed() < Duration::from_millis(700)
         );
-        assert_eq!(server.seen(), 1);
-        until("its connection is closed", || {
-            server.ended.load(Ordering::SeqCst) == 1
+        assert_eq!(server.received_count(), 1);
+        wait_until("the connection is closed", || {
+            server.closed_connections.load(Ordering::SeqCst) == 1
+        });
+        *server.behavior.lock().unwrap() = Behavior::Normal;
+        wait_until("the server is used again", || {
+            gateway.send_read().ends_with("served")
         });
-        *server.mood.lock().unwrap() = Mood::Well;
-        until("it is used again", || gateway.read().ends_with("served"));
     }
 }
 
 #[test]
-fn half_a_line_on_a_resting_connection_ends_that_connection() {
-    let server = StandIn::scripted(|me, _, stream| {
-        let first = me.seen() == 1;
-        _ = stream.write_all(ok("served").as_bytes());
+fn a_partial_line_on_an_idle_connection_closes_it() {
+    let server = FakeService::scripted(|service, _, stream| {
+        let first = service.received_count() == 1;
+        _ = stream.write_all(ok_response("served").as_bytes());
         if first {
             sleep(Duration::from_millis(30));
             _ = stream.write_all(b"HTTP/1.1 200");
         }
         true
     });
-    let (gateway, _discovery, _counter) = Gateway::before(&[server.address]);
-    assert!(gateway.read().ends_with("served"));
-    until("it is closed", || server.ended.load(Ordering::SeqCst) == 1);
-    assert!(gateway.read().ends_with("served"));
+    let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
+    assert!(gateway.send_read().ends_with("served"));
+    wait_until("the connection is closed", || {
+        server.closed_connections.load(Ordering::SeqCst) == 1
+    });
+    assert!(gateway.send_read().ends_with("served"));
     assert_eq!(
-        (server.seen(), server.connections.load(Ordering::SeqCst)),
+        (
+            server.received_count(),
+            server.connections.load(Ordering::SeqCst)
+        ),
         (2, 2)
     );
 }
 
 #[test]
-fn a_connection_that_ends_in_the_moment_of_its_use_costs_no_attempt() {
-    let server = StandIn::scripted(|me, _, stream| {
-        _ = stream.write_all(ok("served").as_bytes());
-        if me.seen() == 1 {
-            until("it stands still", || me.mood() == Mood::Slow);
+fn a_connection_that_closes_as_it_is_reused_costs_no_attempt() {
+    let server = FakeService::scripted(|service, _, stream| {
+        _ = stream.write_all(ok_response("served").as_bytes());
+        if service.received_count() == 1 {
+            wait_until("the gateway is stopped", || {
+                service.behavior() == Behavior::Slow
+            });
         }
-        me.seen() > 1
+        service.received_count() > 1
     });
     let settings = SETTINGS.replace("\"keepaliveS\":1.0", "\"keepaliveS\":10.0");
-    let (mut gateway, _discovery, _counter) = Gateway::before_by(&[server.address], &settings);
-    let mut resting = gateway.rested();
-    gateway.paused(|| {
-        *server.mood.lock().unwrap() = Mood::Slow;
-        until("the connection has ended", || {
-            server.ended.load(Ordering::SeqCst) == 1
+    let (mut gateway, _discovery, _counter) = Gateway::with_settings(&[server.address], &settings);
+    let mut idle_client = gateway.idle_client();
+    gateway.while_stopped(|| {
+        *server.behavior.lock().unwrap() = Behavior::Slow;
+        wait_until("the server has closed the connection", || {
+            server.closed_connections.load(Ordering::SeqCst) == 1
         });
-        // A busy machine passes the end on a little later.
+        // A busy machine may deliver the end of the stream a little later.
         sleep(Duration::from_millis(50));
-        resting
+        idle_client
             .write_all(invocation("POST", "once", 2000, "").as_bytes())
             .unwrap();
     });
-    assert!(message(&mut resting).unwrap().ends_with("served"));
-    drop(resting);
+    assert!(read_message(&mut idle_client).unwrap().ends_with("served"));
+    drop(idle_client);
     gateway.signal("-TERM");
-    let told = String::from_utf8_lossy(&gateway.output().stderr).into_owned();
-    assert!(told.contains("deliveries sent=2 succeeded=2 "), "{told}");
+    let stderr = String::from_utf8_lossy(&gateway.wait_for_output().stderr).into_owned();
+    assert!(
+        stderr.contains("deliveries sent=2 succeeded=2 "),
+        "{stderr}"
+    );
 }
 
 #[test]
-fn bytes_that_came_while_it_stood_still_spoil_no_answer() {
-    // Half a line and the next message reach it in the same moment.
-    let server: Arc<StandIn> = StandIn::scripted(|me, _, stream| {
-        _ = stream.write_all(ok("served").as_bytes());
-        if me.seen() == 1 {
-            until("it stands still", || me.mood() == Mood::Slow);
-            _ = stream.write_all(ok("spoilt").as_bytes());
-            *me.mood.lock().unwrap() = Mood::Well;
+fn surplus_bytes_received_while_stopped_are_not_taken_for_a_response() {
+    // The surplus response and the next request reach the gateway at the same moment.
+    let server: Arc<FakeService> = FakeService::scripted(|service, _, stream| {
+        _ = stream.write_all(ok_response("served").as_bytes());
+        if service.received_count() == 1 {
+            wait_until("the gateway is stopped", || {
+                service.behavior() == Behavior::Slow
+            });
+            _ = stream.write_all(ok_response("surplus").as_bytes());
+            *service.behavior.lock().unwrap() = Behavior::Normal;
         }
         true
     });
     let settings = SETTINGS.replace("\"keepaliveS\":1.0", "\"keepaliveS\":10.0");
-    let (gateway, _discovery, _counter) = Gateway::before_by(&[server.address], &settings);
-    let mut resting = gateway.rested();
-    gateway.paused(|| {
-        *server.mood.lock().unwrap() = Mood::Slow;
-        until("the bytes are there", || server.mood() == Mood::Well);
-        resting
+    let (gateway, _discovery, _counter) = Gateway::with_settings(&[server.address], &settings);
+    let mut idle_client = gateway.idle_client();
+    gateway.while_stopped(|| {
+        *server.behavior.lock().unwrap() = Behavior::Slow;
+        wait_until("the surplus bytes are sent", || {
+            server.behavior() == Behavior::Normal
+        });
+        idle_client
             .write_all(invocation("GET", "read", 2000, "").as_bytes())
             .unwrap();
     });
-    let answer = message(&mut resting).unwrap();
-    assert!(answer.ends_with("served"), "{answer}");
+    let response = read_message(&mut idle_client).unwrap();
+    assert!(response.ends_with("served"), "{response}");
 }
--- a/crates/gateway/gateway/tests/sockets.rs
+++ b/crates/gateway/gateway/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! Starts the program and speaks to it over loopback sockets.
+//! Starts the program and talks to it over loopback sockets.
 
 mod common;
 
@@ -10,34 +10,39 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn an_invocation_passes_on_unchanged_and_its_answer_comes_back() {
-    let server = StandIn::server(Mood::Well);
-    let (gateway, _discovery, counter) = Gateway::before(&[server.address]);
-    let answer = gateway
-        .ask(&invocation("POST", "write", 1500, "some body"))
+fn an_invocation_is_forwarded_unchanged_and_its_response_returned() {
+    let server = FakeService::server(Behavior::Normal);
+    let (gateway, _discovery, counter) = Gateway::with_servers(&[server.address]);
+    let response = gateway
+        .send(&invocation("POST", "write", 1500, "some body"))
         .unwrap();
     assert!(
-        answer.starts_with("HTTP/1.1 200 ") && answer.ends_with("served"),
-        "{answer}"
+        response.starts_with("HTTP/1.1 200 ") && response.ends_with("served"),
+        "{response}"
     );
-    let seen = server.seen.lock().unwrap()[0].to_ascii_lowercase();
+    let received = server.received.lock().unwrap()[0].to_ascii_lowercase();
     assert!(
-        seen.starts_with("post /api?n=7 http/1.1\r\n") && seen.ends_with("\r\n\r\nsome body"),
-        "{seen}"
+        received.starts_with("post /api?n=7 http/1.1\r\n")
+            && received.ends_with("\r\n\r\nsome body"),
+        "{received}"
     );
     assert!(
-        seen.contains("x-request-id: 0000") && seen.contains("idempotency-key: 5c0f6e1a\r\n"),
-        "{seen}"
+        received.contains("x-request-id: 0000")
+            && received.contains("idempotency-key: 5c0f6e1a\r\n"),
+        "{received}"
     );
-    let waits = seen
+    let waits = received
         .split("x-timeout-ms: ")
         .nth(1)
         .unwrap()
         .split('\r')
         .next()
         .unwrap();
-    assert!((1..1500).contains(&waits.parse::<u32>().unwrap()), "{seen}");
-    let call = counter.seen.lock().unwrap()[0].clone();
+    assert!(
+        (1..1500).contains(&waits.parse::<u32>().unwrap()),
+        "{received}"
+    );
+    let call = counter.received.lock().unwrap()[0].clone();
     assert!(
         call.starts_with("CNT.ADD ") && call.ends_with(" 1.000000 60000"),
         "{call}"
@@ -45,119 +50,134 @@
 }
 
 #[test]
-fn connections_to_servers_are_reused_and_dropped_before_they_idle_out() {
-    let server = StandIn::server(Mood::Well);
-    let (gateway, _discovery, _counter) = Gateway::before(&[server.address]);
-    (0..5).for_each(|_| assert!(gateway.read().contains("200 OK")));
+fn server_connections_are_reused_and_closed_before_the_server_closes_them() {
+    let server = FakeService::server(Behavior::Normal);
+    let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
+    (0..5).for_each(|_| assert!(gateway.send_read().contains("200 OK")));
     assert_eq!(
         server.connections.load(Ordering::SeqCst),
         1,
-        "one connection carries all of them in turn"
+        "one connection must serve all requests"
     );
-    let began = Instant::now();
-    until("the idle connection is closed", || {
-        server.ended.load(Ordering::SeqCst) == 1
+    let started_at = Instant::now();
+    wait_until("the idle connection is closed", || {
+        server.closed_connections.load(Ordering::SeqCst) == 1
     });
     assert!(
-        began.elapsed() < Duration::from_secs(1),
-        "before the second after which servers close it"
+        started_at.elapsed() < Duration::from_secs(1),
+        "not closed before the server's idle timeout of 1 s"
     );
-    assert!(gateway.read().contains("200 OK"));
+    assert!(gateway.send_read().contains("200 OK"));
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_delivery_with_it() {
-    let server = StandIn::server(Mood::Silent);
-    let (gateway, _discovery, _counter) = Gateway::before(&[server.address]);
+fn a_disconnect_cancels_the_attempt() {
+    let server = FakeService::server(Behavior::Silent);
+    let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
     let mut stream = gateway.connect().unwrap();
     stream
         .write_all(invocation("GET", "once", 2000, "").as_bytes())
         .unwrap();
-    until("the delivery has come", || server.seen() == 1);
+    wait_until("the attempt has arrived", || server.received_count() == 1);
     let left = Instant::now();
     drop(stream);
-    until("its connection is closed", || {
-        server.ended.load(Ordering::SeqCst) == 1
+    wait_until("the connection to the server is closed", || {
+        server.closed_connections.load(Ordering::SeqCst) == 1
     });
     assert!(
         left.elapsed() < Duration::from_millis(500),
-        "at once, not by a time-out"
+        "cancelled at once, not by a timeout"
     );
-    *server.mood.lock().unwrap() = Mood::Well;
-    assert!(gateway.read().contains("200 OK"));
+    *server.behavior.lock().unwrap() = Behavior::Normal;
+    assert!(gateway.send_read().contains("200 OK"));
 }
 
 #[test]
-fn a_reset_after_the_last_byte_may_have_run_and_a_refused_connection_cannot_have() {
-    let server = StandIn::server(Mood::Resets);
-    let (gateway, _discovery, _counter) = Gateway::before(&[server.address]);
-    let after = gateway.ask(&invocation("GET", "once", 2000, "")).unwrap();
-    assert!(
-        after.starts_with("HTTP/1.1 502 "),
-        "not to be repeated: {after}"
-    );
-    assert_eq!(server.seen(), 1, "nor sent again");
-    // Nothing listens there: no byte was ever written.
-    let (gateway, _discovery, _counter) = Gateway::before(&[free_address()]);
-    let before = gateway.ask(&invocation("GET", "once", 2000, "")).unwrap();
+fn a_reset_after_the_last_byte_gives_502_and_a_refused_connection_gives_429() {
+    let server = FakeService::server(Behavior::ReadThenReset);
+    let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
+    let after = gateway.send(&invocation("GET", "once", 2000, "")).unwrap();
+    assert!(after.starts_with("HTTP/1.1 502 "), "expected 502: {after}");
+    assert_eq!(server.received_count(), 1, "the request was sent again");
+    // Nothing listens at this address, so no byte is ever written.
+    let (gateway, _discovery, _counter) = Gateway::with_servers(&[free_address()]);
+    let before = gateway.send(&invocation("GET", "once", 2000, "")).unwrap();
     assert!(
         before.starts_with("HTTP/1.1 429 ") && before.contains("retry-after: 0."),
-        "harmless: {before}"
+        "expected 429 with retry-after: {before}"
     );
 }
 
 #[test]
-fn a_server_that_turns_away_or_breaks_has_another_take_over() {
-    for mood in [Mood::Full, Mood::Resets, Mood::Fails] {
-        // Two bad ones: which is tried first is left to chance, and a third delivery is allowed.
-        let (bad, worse) = (StandIn::server(mood), StandIn::server(mood));
-        let good = StandIn::server(Mood::Well);
-        let (gateway, _discovery, _counter) =
-            Gateway::before(&[bad.address, worse.address, good.address]);
-        (0..10).for_each(|_| assert!(gateway.read().ends_with("served")));
-        let seen = bad.seen() + worse.seen();
+fn another_server_takes_over_from_one_that_rejects_or_fails() {
+    for behavior in [
+        Behavior::Overloaded,
+        Behavior::ReadThenReset,
+        Behavior::ServerError,
+    ] {
+        // Two failing servers: the order is random, and a third attempt is allowed.
+        let (first_failing, second_failing) =
+            (FakeService::server(behavior), FakeService::server(behavior));
+        let working = FakeService::server(Behavior::Normal);
+        let (gateway, _discovery, _counter) = Gateway::with_servers(&[
+            first_failing.address,
+            second_failing.address,
+            working.address,
+        ]);
+        (0..10).for_each(|_| assert!(gateway.send_read().ends_with("served")));
+        let received = first_failing.received_count() + second_failing.received_count();
         assert!(
-            seen > 0 && good.seen() == 10,
-            "{seen} and {} seen",
-            good.seen()
+            received > 0 && working.received_count() == 10,
+            "{received} and {} received",
+            working.received_count()
         );
     }
 }
 
 #[test]
-fn a_silent_server_is_given_up_in_time() {
-    let servers = [StandIn::server(Mood::Well), StandIn::server(Mood::Well)];
+fn attempts_at_an_unresponsive_server_time_out() {
+    let servers = [
+        FakeService::server(Behavior::Normal),
+        FakeService::server(Behavior::Normal),
+    ];
     let (gateway, _discovery, _counter) =
-        Gateway::before(&[servers[0].address, servers[1].address]);
-    (0..40).for_each(|_| assert!(gateway.read().ends_with("served")));
-    // The one that is used rather falls silent: its deliveries move to the other within the objective.
-    let silent = usize::from(servers[1].seen() > servers[0].seen());
-    *servers[silent].mood.lock().unwrap() = Mood::Silent;
-    let before = servers[silent].seen();
-    (0..3).for_each(|_| assert!(gateway.read().ends_with("served")));
-    assert!(servers[silent].seen() > before, "the silent one was tried");
-    *servers[1 - silent].mood.lock().unwrap() = Mood::Silent;
-    let began = Instant::now();
-    let answer = gateway.ask(&invocation("GET", "once", 700, "")).unwrap();
+        Gateway::with_servers(&[servers[0].address, servers[1].address]);
+    (0..40).for_each(|_| assert!(gateway.send_read().ends_with("served")));
+    // The preferred server stops responding: attempts move to the other one within the latency objective.
+    let silent = usize::from(servers[1].received_count() > servers[0].received_count());
+    *servers[silent].behavior.lock().unwrap() = Behavior::Silent;
+    let before = servers[silent].received_count();
+    (0..3).for_each(|_| assert!(gateway.send_read().ends_with("served")));
     assert!(
-        answer.starts_with("HTTP/1.1 502 ") && began.elapsed() < Duration::from_millis(700),
-        "{answer}"
+        servers[silent].received_count() > before,
+        "the unresponsive server was not tried"
+    );
+    *servers[1 - silent].behavior.lock().unwrap() = Behavior::Silent;
+    let started_at = Instant::now();
+    let response = gateway.send(&invocation("GET", "once", 700, "")).unwrap();
+    assert!(
+        response.starts_with("HTTP/1.1 502 ") && started_at.elapsed() < Duration::from_millis(700),
+        "{response}"
     );
 }
 
 #[test]
-fn without_the_counter_invocations_still_pass_and_quotas_still_bind() {
-    for mood in [Mood::Silent, Mood::AddsAndResets, Mood::Full] {
-        let server = StandIn::server(Mood::Well);
-        let (gateway, _discovery, counter) = Gateway::before(&[server.address]);
-        *counter.mood.lock().unwrap() = mood;
-        (0..20).for_each(|_| assert!(gateway.read().ends_with("served")));
-        assert!(counter.seen() > 0, "the counter was asked");
+fn without_the_counter_invocations_pass_and_quotas_hold() {
+    for behavior in [
+        Behavior::Silent,
+        Behavior::CountThenReset,
+        Behavior::Overloaded,
+    ] {
+        let server = FakeService::server(Behavior::Normal);
+        let (gateway, _discovery, counter) = Gateway::with_servers(&[server.address]);
+        *counter.behavior.lock().unwrap() = behavior;
+        (0..20).for_each(|_| assert!(gateway.send_read().ends_with("served")));
+        assert!(counter.received_count() > 0, "the counter was not called");
         let tiny = invocation("GET", "read", 2000, "")
             .replace("small", "tiny")
             .replace("b4d6", "b4d7");
-        let answers: Vec<_> = (0..20).map(|_| gateway.ask(&tiny).unwrap()).collect();
-        let throttled = answers.iter().filter(|a| a.contains(" 429 ")).count();
+        let responses: Vec<_> = (0..20).map(|_| gateway.send(&tiny).unwrap()).collect();
+        let throttled = responses.iter().filter(|a| a.contains(" 429 ")).count();
         assert!(
             (17..20).contains(&throttled),
             "{throttled} of 20 throttled beyond a burst of 1"
@@ -167,36 +187,43 @@
 
 #[test]
 fn a_counter_that_comes_back_is_used_again() {
-    let server = StandIn::server(Mood::Well);
-    let (gateway, _discovery, counter) = Gateway::before(&[server.address]);
-    *counter.mood.lock().unwrap() = Mood::Silent;
-    (0..5).for_each(|_| assert!(gateway.read().ends_with("served")));
-    *counter.mood.lock().unwrap() = Mood::Well;
-    // A connection that stays silent is taken for dead after a while, and another one opened.
-    let before = counter.seen();
-    until("it is asked on a new connection", || {
-        let other = invocation("GET", "read", 2000, "")
-            .replace("b4d65521", &format!("{:08x}", counter.seen()));
-        gateway.ask(&other).unwrap();
-        counter.seen() > before + 3 && counter.connections.load(Ordering::SeqCst) > 1
+    let server = FakeService::server(Behavior::Normal);
+    let (gateway, _discovery, counter) = Gateway::with_servers(&[server.address]);
+    *counter.behavior.lock().unwrap() = Behavior::Silent;
+    (0..5).for_each(|_| assert!(gateway.send_read().ends_with("served")));
+    *counter.behavior.lock().unwrap() = Behavior::Normal;
+    // A connection without replies is considered dead after a while, and another one is opened.
+    let before = counter.received_count();
+    wait_until("the counter is called on a new connection", || {
+        let request = invocation("GET", "read", 2000, "")
+            .replace("b4d65521", &format!("{:08x}", counter.received_count()));
+        gateway.send(&request).unwrap();
+        counter.received_count() > before + 3 && counter.connections.load(Ordering::SeqCst) > 1
     });
 }
 
 #[test]
-fn a_spoilt_answer_of_the_counter_costs_few_other_calls() {
-    // On one connection all calls behind it were lost with it, and customers throttled for that.
-    let server = StandIn::server(Mood::Well);
-    let (mut gateway, _discovery, counter) = Gateway::before(&[server.address]);
-    *counter.mood.lock().unwrap() = Mood::SpoilsFirst;
-    let other =
+fn a_malformed_reply_of_the_counter_loses_few_other_calls() {
+    // With a single connection, all calls behind the malformed reply would be lost and their customers throttled.
+    let server = FakeService::server(Behavior::Normal);
+    let (mut gateway, _discovery, counter) = Gateway::with_servers(&[server.address]);
+    *counter.behavior.lock().unwrap() = Behavior::CorruptFirstName;
+    let read_of_customer =
         |n: u64| invocation("GET", "read", 2000, "").replace("b4d65521", &format!("{n:08x}"));
     let mut first = gateway.connect().unwrap();
-    first.write_all(other(0).as_bytes()).unwrap();
-    until("its call is on its way", || counter.seen() == 1);
-    // A counter not known yet is asked for some of them only.
-    (1..120).for_each(|n| assert!(gateway.ask(&other(n)).unwrap().ends_with("served")));
-    assert!(message(&mut first).unwrap().ends_with("served"));
-    // Eight at once; the spoilt one may have been opened anew by now.
+    first.write_all(read_of_customer(0).as_bytes()).unwrap();
+    wait_until("the first call has arrived", || {
+        counter.received_count() == 1
+    });
+    // While nothing is known of the counter, only some of the requests call it.
+    (1..120).for_each(|n| {
+        assert!(gateway
+            .send(&read_of_customer(n))
+            .unwrap()
+            .ends_with("served"))
+    });
+    assert!(read_message(&mut first).unwrap().ends_with("served"));
+    // Eight connections; the one with the malformed reply may have been reopened by now.
     let open = counter.connections.load(Ordering::SeqCst);
     assert!(
         (2..=9).contains(&open),
@@ -205,9 +232,9 @@
     gateway.signal("-USR1");
     sleep(Duration::from_millis(100));
     gateway.signal("-KILL");
-    let told = String::from_utf8_lossy(&gateway.output().stderr).into_owned();
+    let stderr = String::from_utf8_lossy(&gateway.wait_for_output().stderr).into_owned();
     let figure = |key: &str| {
-        let after = told.split(key).nth(1)?;
+        let after = stderr.split(key).nth(1)?;
         after
             .split(|c: char| !c.is_ascii_digit())
             .next()?
@@ -217,14 +244,17 @@
     let (calls, silent) = (figure("calls=").unwrap(), figure("silent=").unwrap());
     assert!(
         silent > 0 && silent * 8 < calls,
-        "{silent} of {calls} silent: {told}"
+        "{silent} of {calls} silent: {stderr}"
     );
 }
 
 #[test]
-fn nothing_new_goes_to_a_server_that_drains_or_is_gone() {
-    let (a, b) = (StandIn::server(Mood::Well), StandIn::server(Mood::Well));
-    let (gateway, discovery, _counter) = Gateway::before(&[a.address, b.address]);
+fn no_new_attempts_go_to_a_draining_or_removed_server() {
+    let (a, b) = (
+        FakeService::server(Behavior::Normal),
+        FakeService::server(Behavior::Normal),
+    );
+    let (gateway, discovery, _counter) = Gateway::with_servers(&[a.address, b.address]);
     for (revision, phases) in [
         (2, ["Terminating", "Ready"]),
         (3, ["Ready", "Gone"]),
@@ -232,16 +262,16 @@
     ] {
         let changed = [(0, a.address, phases[0]), (1, b.address, phases[1])];
         discovery
-            .news
+            .list_lines
             .lock()
             .unwrap()
-            .push(list(revision, false, &changed));
+            .push(endpoint_list(revision, false, &changed));
         sleep(Duration::from_millis(100));
-        let before = (a.seen(), b.seen());
-        (0..20).for_each(|_| assert!(gateway.read().ends_with("served")));
-        let came = (a.seen() - before.0, b.seen() - before.1);
+        let before = (a.received_count(), b.received_count());
+        (0..20).for_each(|_| assert!(gateway.send_read().ends_with("served")));
+        let new_attempts = (a.received_count() - before.0, b.received_count() - before.1);
         assert_eq!(
-            came,
+            new_attempts,
             if phases[0] == "Ready" {
                 (20, 0)
             } else {
@@ -250,127 +280,152 @@
             "while {phases:?}"
         );
     }
-    let asked = discovery.seen.lock().unwrap()[0].clone();
+    let watch_request = discovery.received.lock().unwrap()[0].clone();
     assert!(
-        asked.starts_with("GET /api/targets?follow=1&since=1 "),
-        "{asked}"
+        watch_request.starts_with("GET /api/targets?follow=1&since=1 "),
+        "{watch_request}"
     );
 }
 
 #[test]
-fn a_server_that_moved_gets_nothing_new_at_its_old_address() {
-    let (old, new) = (StandIn::server(Mood::Slow), StandIn::server(Mood::Well));
-    let (gateway, discovery, _counter) = Gateway::before(&[old.address]);
+fn a_moved_server_gets_no_new_attempts_at_its_old_address() {
+    let (old, new) = (
+        FakeService::server(Behavior::Slow),
+        FakeService::server(Behavior::Normal),
+    );
+    let (gateway, discovery, _counter) = Gateway::with_servers(&[old.address]);
     let mut out = gateway.connect().unwrap();
     out.write_all(invocation("GET", "read", 2000, "").as_bytes())
         .unwrap();
-    until("it is out", || old.seen() == 1);
-    discovery
-        .news
-        .lock()
-        .unwrap()
-        .push(list(2, false, &[(0, new.address, "Ready")]));
+    wait_until("the attempt has arrived", || old.received_count() == 1);
+    discovery.list_lines.lock().unwrap().push(endpoint_list(
+        2,
+        false,
+        &[(0, new.address, "Ready")],
+    ));
     assert!(
-        message(&mut out).unwrap().ends_with("served"),
-        "what was out there is still answered"
+        read_message(&mut out).unwrap().ends_with("served"),
+        "the attempt in flight must still be answered"
     );
-    assert!(gateway.read().ends_with("served"));
+    assert!(gateway.send_read().ends_with("served"));
     assert_eq!(
-        (old.seen(), new.seen()),
+        (old.received_count(), new.received_count()),
         (1, 1),
-        "the connection that was in use is not used again"
+        "the old connection was reused"
     );
-    until("it is closed", || old.ended.load(Ordering::SeqCst) == 1);
+    wait_until("the old connection is closed", || {
+        old.closed_connections.load(Ordering::SeqCst) == 1
+    });
 }
 
 #[test]
-fn a_mute_discovery_leaves_the_known_list_and_is_asked_again() {
-    let server = StandIn::server(Mood::Well);
-    let known = list(7, true, &[(0, server.address, "Ready")]);
-    let discovery = StandIn::discovery(known.clone(), Mood::Silent);
-    let counter = StandIn::counter(Mood::Well);
-    let gateway = Gateway::with(&known, discovery.address, counter.address, 256);
-    assert!(gateway.read().ends_with("served"));
-    // Else the first watch may come when discovery is well again, and stands for good.
-    until("the first watch is not answered", || discovery.seen() == 1);
-    *discovery.mood.lock().unwrap() = Mood::Well;
-    until("another watch is opened", || discovery.seen() == 2);
-    assert!(gateway.read().ends_with("served"));
+fn the_initial_list_stays_in_use_while_an_unresponsive_discovery_is_retried() {
+    let server = FakeService::server(Behavior::Normal);
+    let initial_list = endpoint_list(7, true, &[(0, server.address, "Ready")]);
+    let discovery = FakeService::discovery(initial_list.clone(), Behavior::Silent);
+    let counter = FakeService::counter(Behavior::Normal);
+    let gateway = Gateway::with_discovery(&initial_list, discovery.address, counter.address, 256);
+    assert!(gateway.send_read().ends_with("served"));
+    // Otherwise the first watch might arrive after discovery behaves normally again, and stay open.
+    wait_until("the first watch is not answered", || {
+        discovery.received_count() == 1
+    });
+    *discovery.behavior.lock().unwrap() = Behavior::Normal;
+    wait_until("another watch is opened", || {
+        discovery.received_count() == 2
+    });
+    assert!(gateway.send_read().ends_with("served"));
 }
 
 #[test]
-fn a_discovery_with_no_room_is_asked_less_and_less_often_and_nothing_waits_for_it() {
-    // Hundreds that start at once and ask ten times a second each keep it from answering any.
-    let server = StandIn::server(Mood::Well);
-    let turned_away = StandIn::start(Mood::Resets, |_, stream| reset(stream));
-    let counter = StandIn::counter(Mood::Well);
-    let known = list(1, true, &[(0, server.address, "Ready")]);
-    let gateway = Gateway::with(&known, turned_away.address, counter.address, 256);
-    let before = turned_away.connections.load(Ordering::SeqCst);
+fn an_overloaded_discovery_is_retried_with_backoff_and_blocks_no_invocation() {
+    // Hundreds of gateways that start together and each retry ten times per second would keep an overloaded discovery
+    // from answering any of them.
+    let server = FakeService::server(Behavior::Normal);
+    let overloaded_discovery =
+        FakeService::start(Behavior::ReadThenReset, |_, stream| reset(stream));
+    let counter = FakeService::counter(Behavior::Normal);
+    let initial_list = endpoint_list(1, true, &[(0, server.address, "Ready")]);
+    let gateway = Gateway::with_discovery(
+        &initial_list,
+        overloaded_discovery.address,
+        counter.address,
+        256,
+    );
+    let before = overloaded_discovery.connections.load(Ordering::SeqCst);
     (0..20).for_each(|_| {
         assert!(
-            gateway.read().ends_with("served"),
-            "from the list it was given"
+            gateway.send_read().ends_with("served"),
+            "not served from the initial list"
         )
     });
     sleep(Duration::from_secs(3));
-    let asked = turned_away.connections.load(Ordering::SeqCst) - before;
+    let retries = overloaded_discovery.connections.load(Ordering::SeqCst) - before;
     assert!(
-        (1..=12).contains(&asked),
-        "{asked} times in 3 s, about 30 without a pause that grows"
+        (1..=12).contains(&retries),
+        "{retries} retries in 3 s; without backoff there would be about 30"
     );
 }
 
 #[test]
-fn malformed_and_oversized_input_gets_a_plain_4xx_and_the_process_lives() {
-    let server = StandIn::server(Mood::Well);
-    let (gateway, _discovery, _counter) = Gateway::before(&[server.address]);
-    let good = invocation("GET", "read", 2000, "");
-    let bad = [
-        good.replace("X-Tariff: small", "X-Tariff: huge"),
-        good.replace("Class: read", "Class: dance"),
-        good.replace("X-Timeout-Ms: 2000", "X-Timeout-Ms: soon"),
-        good.replace("account=", "account=zz"),
-        good.replace("Cookie", "Biscuit"),
-        good.replace("units=1", "units=-1"),
-        good.replace("units=1", "units=NaN"),
-        good.replace("units=1", "units=9"),
-        good.replace("spread=1", "spread=0"),
-        good.replace("spread=1", "spread=2"),
-        good.replace("first=0", "first=1"),
-        good.replace("account=00000000", "account=00000002"),
-        good.replace("account=00000000", "account=+0000000"),
-        good.replace("account=00000000", "account="),
-        good.replace("Ms: 2000", "Ms: 0"),
-        good.replace("Ms: 2000", "Ms: 60001"),
-        good.replace("X-Weight", "X-Tariff: small\r\nX-Weight"),
-        good.replace("X-Request-ID: 0", "X-Request-ID: \r\nX-Other: 0"),
-        good.replace("X-Weight: units=1,spread=1,first=0", "X-Weight: heavy"),
-        good.replace("X-Request-ID", "X-Other"),
-        good.replace("HTTP/1.1", "HTTP/9"),
-        good.replace("\r\n\r\n", "\r\nContent-Length: 99999999999\r\n\r\n"),
+fn malformed_and_oversized_input_gets_a_4xx_and_the_process_survives() {
+    let server = FakeService::server(Behavior::Normal);
+    let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
+    let valid = invocation("GET", "read", 2000, "");
+    let invalid = [
+        valid.replace("X-Tariff: small", "X-Tariff: huge"),
+        valid.replace("Class: read", "Class: dance"),
+        valid.replace("X-Timeout-Ms: 2000", "X-Timeout-Ms: soon"),
+        valid.replace("account=", "account=zz"),
+        valid.replace("Cookie", "Biscuit"),
+        valid.replace("units=1", "units=-1"),
+        valid.replace("units=1", "units=NaN"),
+        valid.replace("units=1", "units=9"),
+        valid.replace("spread=1", "spread=0"),
+        valid.replace("spread=1", "spread=2"),
+        valid.replace("first=0", "first=1"),
+        valid.replace("account=00000000", "account=00000002"),
+        valid.replace("account=00000000", "account=+0000000"),
+        valid.replace("account=00000000", "account="),
+        valid.replace("Ms: 2000", "Ms: 0"),
+        valid.replace("Ms: 2000", "Ms: 60001"),
+        valid.replace("X-Weight", "X-Tariff: small\r\nX-Weight"),
+        valid.replace("X-Request-ID: 0", "X-Request-ID: \r\nX-Other: 0"),
+        valid.replace("X-Weight: units=1,spread=1,first=0", "X-Weight: heavy"),
+        valid.replace("X-Request-ID", "X-Other"),
+        valid.replace("HTTP/1.1", "HTTP/9"),
+        valid.replace("\r\n\r\n", "\r\nContent-Length: 99999999999\r\n\r\n"),
         "\u{1}\u{2}\u{3}\r\n\r\n".into(),
         invocation("POST", "write", 1500, &"x".repeat(64 * 1024 + 1)),
-        good.replace(
+        valid.replace(
             "\r\n\r\n",
             &format!("\r\nX-Long: {}\r\n\r\n", "x".repeat(128 * 1024)),
         ),
     ];
-    for text in &bad {
-        // A connection that ends while much is still unread may cut off its answer.
-        let answer = gateway.ask(text);
-        let four = answer.as_ref().is_none_or(|a| a.starts_with("HTTP/1.1 4"))
-            && (answer.is_some() || text.len() > 9000);
-        assert!(four, "{:?} to {}", answer, &text[..text.len().min(300)]);
+    for text in &invalid {
+        // A connection that closes with much unread input may lose its response.
+        let response = gateway.send(text);
+        let is_4xx = response
+            .as_ref()
+            .is_none_or(|a| a.starts_with("HTTP/1.1 4"))
+            && (response.is_some() || text.len() > 9000);
+        assert!(is_4xx, "{:?} to {}", response, &text[..text.len().min(300)]);
     }
-    assert!(gateway.read().ends_with("served"), "it lives");
-    assert_eq!(server.seen(), 1, "and passed none of them on");
+    assert!(
+        gateway.send_read().ends_with("served"),
+        "the gateway must keep serving"
+    );
+    assert_eq!(
+        server.received_count(),
+        1,
+        "an invalid request was forwarded"
+    );
 }
 
 #[test]
-fn nothing_hides_behind_a_body_with_two_lengths() {
-    let server = StandIn::server(Mood::Well);
-    let (gateway, _discovery, _counter) = Gateway::before(&[server.address]);
+fn a_request_hidden_behind_a_body_with_two_lengths_is_not_forwarded() {
+    let server = FakeService::server(Behavior::Normal);
+    let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
     let hidden = invocation("GET", "read", 2000, "");
     let body = format!("0\r\n\r\n{hidden}");
     for lengths in [
@@ -386,42 +441,38 @@
         };
         let mut client = gateway.connect().unwrap();
         client.write_all(text.as_bytes()).unwrap();
-        let mut told = String::new();
-        _ = client.read_to_string(&mut told);
+        let mut response = String::new();
+        _ = client.read_to_string(&mut response);
         assert!(
-            told.starts_with("HTTP/1.1 400 ") && told.matches("HTTP/1.1").count() == 1,
-            "{told}"
+            response.starts_with("HTTP/1.1 400 ") && response.matches("HTTP/1.1").count() == 1,
+            "{response}"
         );
     }
-    assert_eq!(
-        server.seen(),
-        0,
-        "neither the one nor the other is passed on"
-    );
+    assert_eq!(server.received_count(), 0, "a request was forwarded");
 }
 
 #[test]
-fn an_id_in_hand_is_turned_down_and_its_owner_is_answered() {
-    let server = StandIn::server(Mood::Slow);
-    let (gateway, _discovery, _counter) = Gateway::before(&[server.address]);
+fn a_duplicate_request_id_is_rejected_and_the_first_request_answered() {
+    let server = FakeService::server(Behavior::Slow);
+    let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
     let text = invocation("GET", "once", 2000, "");
     let mut owner = gateway.connect().unwrap();
     owner.write_all(text.as_bytes()).unwrap();
-    until("it is out", || server.seen() == 1);
-    assert!(gateway.ask(&text).unwrap().starts_with("HTTP/1.1 409 "));
-    assert!(message(&mut owner).unwrap().ends_with("served"));
-    assert_eq!(server.seen(), 1, "the copy was not passed on");
+    wait_until("the attempt has arrived", || server.received_count() == 1);
+    assert!(gateway.send(&text).unwrap().starts_with("HTTP/1.1 409 "));
+    assert!(read_message(&mut owner).unwrap().ends_with("served"));
+    assert_eq!(server.received_count(), 1, "the duplicate was forwarded");
     assert!(
-        gateway.ask(&text).unwrap().ends_with("served"),
-        "later the id is as good as any"
+        gateway.send(&text).unwrap().ends_with("served"),
+        "the id must be usable again"
     );
 }
 
 #[test]
-fn more_clients_than_there_is_room_for_are_served_in_turn() {
-    let server = StandIn::server(Mood::Well);
-    let (gateway, _discovery, _counter) = Gateway::within(&[server.address], 32, SETTINGS);
-    // More connections than it keeps: idle ones, half a head, half a body.
+fn more_clients_than_connections_are_served_in_turn() {
+    let server = FakeService::server(Behavior::Normal);
+    let (gateway, _discovery, _counter) = Gateway::with_sockets(&[server.address], 32, SETTINGS);
+    // More connections than the gateway keeps: idle ones, partial heads and partial bodies.
     let half = invocation("POST", "write", 1500, &"x".repeat(100));
     let parts = ["", "GET /api HTTP/1.1\r\nHost:", &half[..half.len() - 50]];
     let mut clients: Vec<_> = (0..72).filter_map(|_| gateway.connect()).collect();
@@ -429,21 +480,29 @@
         .iter_mut()
         .enumerate()
         .for_each(|(at, s)| _ = s.write_all(parts[at % 3].as_bytes()));
-    (0..10).for_each(|_| assert!(gateway.read().ends_with("served")));
+    (0..10).for_each(|_| assert!(gateway.send_read().ends_with("served")));
 }
 
-/// Guards against a process that ends on SIGHUP, that loses what is in hand or keeps to the old addresses.
+/// SIGHUP must neither end the process nor lose invocations in flight, and must apply the new addresses.
 #[test]
-fn sighup_moves_discovery_and_the_counter_and_keeps_all_in_hand() {
-    let (first, second) = (StandIn::server(Mood::Slow), StandIn::server(Mood::Well));
-    let (gateway, old_discovery, old_counter) = Gateway::before(&[first.address]);
-    let counter = StandIn::counter(Mood::Well);
-    let discovery = StandIn::discovery(list(2, false, &[(1, second.address, "Ready")]), Mood::Well);
-    until("the old list is watched", || old_discovery.seen() == 1);
+fn sighup_changes_the_addresses_and_keeps_invocations_in_flight() {
+    let (first, second) = (
+        FakeService::server(Behavior::Slow),
+        FakeService::server(Behavior::Normal),
+    );
+    let (gateway, old_discovery, old_counter) = Gateway::with_servers(&[first.address]);
+    let counter = FakeService::counter(Behavior::Normal);
+    let discovery = FakeService::discovery(
+        endpoint_list(2, false, &[(1, second.address, "Ready")]),
+        Behavior::Normal,
+    );
+    wait_until("the old list is watched", || {
+        old_discovery.received_count() == 1
+    });
     let mut out = gateway.connect().unwrap();
     out.write_all(invocation("GET", "read", 2000, "").as_bytes())
         .unwrap();
-    until("it is out", || first.seen() == 1);
+    wait_until("the attempt has arrived", || first.received_count() == 1);
     let text = std::fs::read_to_string(&gateway.config).unwrap();
     let moved = text.replace(
         &old_discovery.address.to_string(),
@@ -453,54 +512,67 @@
         &old_counter.address.to_string(),
         &counter.address.to_string(),
     );
-    // One that is written in part changes nothing.
+    // A partially written file changes nothing.
     std::fs::write(&gateway.config, &moved[..moved.len() / 2]).unwrap();
     gateway.signal("-HUP");
     sleep(Duration::from_millis(100));
-    let other =
+    let read_of_customer =
         |n: u64| invocation("GET", "read", 2000, "").replace("b4d65521", &format!("{n:08x}"));
-    assert!(gateway.ask(&other(1)).unwrap().ends_with("served"));
-    assert_eq!(old_discovery.seen(), 1, "the old addresses hold");
+    assert!(gateway
+        .send(&read_of_customer(1))
+        .unwrap()
+        .ends_with("served"));
+    assert_eq!(old_discovery.received_count(), 1, "the addresses changed");
     std::fs::write(&gateway.config, &moved).unwrap();
     gateway.signal("-HUP");
-    until("the list is watched at its new address", || {
-        discovery.seen() == 1
+    wait_until("the list is watched at its new address", || {
+        discovery.received_count() == 1
     });
-    until("the old watch ends", || {
-        old_discovery.ended.load(Ordering::SeqCst) == 1
+    wait_until("the old watch ends", || {
+        old_discovery.closed_connections.load(Ordering::SeqCst) == 1
     });
     assert!(
-        discovery.seen.lock().unwrap()[0].contains("since=1 "),
-        "it goes on from where it was"
-    );
-    assert!(gateway.ask(&other(2)).unwrap().ends_with("served"));
-    assert!(counter.seen() > 0, "calls go to the new counter");
-    let before = old_counter.seen();
-    assert!(gateway.ask(&other(3)).unwrap().ends_with("served"));
-    assert_eq!(old_counter.seen(), before, "and none to the old one");
+        discovery.received.lock().unwrap()[0].contains("since=1 "),
+        "the watch must continue from its revision"
+    );
+    assert!(gateway
+        .send(&read_of_customer(2))
+        .unwrap()
+        .ends_with("served"));
+    assert!(counter.received_count() > 0, "the new counter got no call");
+    let before = old_counter.received_count();
+    assert!(gateway
+        .send(&read_of_customer(3))
+        .unwrap()
+        .ends_with("served"));
+    assert_eq!(
+        old_counter.received_count(),
+        before,
+        "the old counter got a call"
+    );
     let open = old_counter.connections.load(Ordering::SeqCst);
-    until("the old connections are closed", || {
-        old_counter.ended.load(Ordering::SeqCst) == open
+    wait_until("the old connections are closed", || {
+        old_counter.closed_connections.load(Ordering::SeqCst) == open
     });
     assert!(
-        message(&mut out).unwrap().ends_with("served"),
-        "what was out there is still answered"
+        read_message(&mut out).unwrap().ends_with("served"),
+        "the attempt in flight must still be answered"
     );
-    until("the new list's server is used", || {
-        gateway.read().ends_with("served") && second.seen() > 0
+    wait_until("the new list's server is used", || {
+        gateway.send_read().ends_with("served") && second.received_count() > 0
     });
 }
 
 #[test]
-fn silence_and_half_messages_are_cut_and_idle_clients_are_not() {
-    let server = StandIn::server(Mood::Well);
-    let (gateway, _discovery, _counter) = Gateway::before(&[server.address]);
+fn silent_and_partial_messages_time_out_and_idle_clients_stay() {
+    let server = FakeService::server(Behavior::Normal);
+    let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
     let half = invocation("POST", "write", 1500, &"x".repeat(100));
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut idle = gateway.connect().unwrap();
     idle.write_all(invocation("GET", "read", 2000, "").as_bytes())
         .unwrap();
-    assert!(message(&mut idle).unwrap().ends_with("served"));
+    assert!(read_message(&mut idle).unwrap().ends_with("served"));
     let mut clients: Vec<_> = (0..3).map(|_| gateway.connect().unwrap()).collect();
     let parts = ["", "GET /api HTTP/1.1\r\nHost:", &half[..half.len() - 50]];
     clients
@@ -508,126 +580,138 @@
         .zip(parts)
         .for_each(|(c, part)| c.write_all(part.as_bytes()).unwrap());
     for (client, part) in clients.iter_mut().zip(parts) {
-        let mut told = Vec::new();
-        _ = client.read_to_end(&mut told);
+        let mut response = Vec::new();
+        _ = client.read_to_end(&mut response);
         assert!(
-            began.elapsed() < Duration::from_millis(2900),
-            "never cut after {part:?}"
+            started_at.elapsed() < Duration::from_millis(2900),
+            "not closed in time after {part:?}"
         );
     }
     assert!(
-        began.elapsed() > Duration::from_millis(1900),
-        "each had its two seconds"
+        started_at.elapsed() > Duration::from_millis(1900),
+        "closed before the message timeout"
     );
     idle.write_all(invocation("GET", "read", 2000, "").as_bytes())
         .unwrap();
     assert!(
-        message(&mut idle).unwrap().ends_with("served"),
-        "one between messages stays"
+        read_message(&mut idle).unwrap().ends_with("served"),
+        "an idle connection must stay open"
     );
 }
 
 #[test]
-fn sigterm_answers_what_is_in_hand_and_what_still_comes() {
-    let (server, slow) = (StandIn::server(Mood::Well), StandIn::server(Mood::Silent));
-    let (mut gateway, _discovery, _counter) = Gateway::before(&[server.address]);
-    let (mut kept, mut held) = (gateway.connect().unwrap(), gateway.connect().unwrap());
-    kept.write_all(invocation("GET", "read", 2000, "").as_bytes())
+fn sigterm_answers_requests_in_flight_and_new_ones() {
+    let (server, slow) = (
+        FakeService::server(Behavior::Normal),
+        FakeService::server(Behavior::Silent),
+    );
+    let (mut gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
+    let (mut idle_client, mut pending_client) =
+        (gateway.connect().unwrap(), gateway.connect().unwrap());
+    idle_client
+        .write_all(invocation("GET", "read", 2000, "").as_bytes())
         .unwrap();
-    assert!(message(&mut kept).unwrap().ends_with("served"));
-    *server.mood.lock().unwrap() = Mood::Silent;
-    held.write_all(invocation("GET", "once", 1200, "").as_bytes())
+    assert!(read_message(&mut idle_client).unwrap().ends_with("served"));
+    *server.behavior.lock().unwrap() = Behavior::Silent;
+    pending_client
+        .write_all(invocation("GET", "once", 1200, "").as_bytes())
         .unwrap();
-    until("it is out", || server.seen() == 2);
-    *server.mood.lock().unwrap() = Mood::Well;
+    wait_until("the attempt has arrived", || server.received_count() == 2);
+    *server.behavior.lock().unwrap() = Behavior::Normal;
     gateway.signal("-TERM");
     sleep(Duration::from_millis(200));
     assert!(gateway
-        .ask("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+        .send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
         .unwrap()
         .contains(" 503 "));
     assert!(
-        gateway.read().ends_with("served"),
-        "a new connection is still served"
+        gateway.send_read().ends_with("served"),
+        "a new connection must still be served"
     );
-    kept.write_all(invocation("GET", "read", 2000, "").as_bytes())
+    idle_client
+        .write_all(invocation("GET", "read", 2000, "").as_bytes())
         .unwrap();
     assert!(
-        message(&mut kept).unwrap().ends_with("served"),
-        "and one that was open"
+        read_message(&mut idle_client).unwrap().ends_with("served"),
+        "an open connection must still be served"
     );
     assert!(
-        message(&mut held).unwrap().contains("502"),
-        "what is in hand gets its answer"
+        read_message(&mut pending_client).unwrap().contains("502"),
+        "the invocation in flight must get its response"
     );
-    let output = gateway.output();
-    let told = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(output.status.success(), "{told}");
+    let output = gateway.wait_for_output();
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(output.status.success(), "{stderr}");
     assert!(
-        told.contains("taken=4 ") && told.contains("succeeded=3 ") && told.contains("errored=1"),
-        "{told}"
+        stderr.contains("taken=4 ")
+            && stderr.contains("succeeded=3 ")
+            && stderr.contains("errored=1"),
+        "{stderr}"
     );
-    assert_eq!(slow.seen(), 0);
+    assert_eq!(slow.received_count(), 0);
 }
 
 #[test]
-fn counters_are_printed_on_request() {
-    let server = StandIn::server(Mood::Well);
-    let (mut gateway, _discovery, _counter) = Gateway::before(&[server.address]);
-    (0..3).for_each(|_| assert!(gateway.read().ends_with("served")));
+fn statistics_are_printed_on_sigusr1() {
+    let server = FakeService::server(Behavior::Normal);
+    let (mut gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
+    (0..3).for_each(|_| assert!(gateway.send_read().ends_with("served")));
     gateway.signal("-USR1");
     sleep(Duration::from_millis(100));
-    assert!(gateway.read().ends_with("served"), "it goes on");
+    assert!(
+        gateway.send_read().ends_with("served"),
+        "the gateway must keep serving"
+    );
     gateway.signal("-KILL");
-    let told = String::from_utf8_lossy(&gateway.output().stderr).into_owned();
+    let stderr = String::from_utf8_lossy(&gateway.wait_for_output().stderr).into_owned();
     assert!(
-        told.contains("taken=3 ") && told.contains("deliveries sent=3 succeeded=3 "),
-        "{told}"
+        stderr.contains("taken=3 ") && stderr.contains("deliveries sent=3 succeeded=3 "),
+        "{stderr}"
     );
 }
 
 #[test]
-fn a_bad_configuration_gets_one_plain_line() {
-    let taken = TcpListener::bind("127.0.0.1:0").unwrap();
-    let good = format!(
+fn an_invalid_configuration_gives_a_one_line_error() {
+    let occupied = TcpListener::bind("127.0.0.1:0").unwrap();
+    let valid = format!(
         r#"{{"listen":"{}","discovery":"127.0.0.1:1","seed":"1f","settings":{SETTINGS}}}"#,
-        taken.local_addr().unwrap()
+        occupied.local_addr().unwrap()
     );
-    let bad = [
+    let invalid = [
         ("{".to_owned(), "EOF"),
-        (good.replace("\"listen\":\"", "\"listen\":\"x"), "listen"),
-        (good.replace("\"1f\"", "\"seed\""), "seed"),
-        (good.replace("\"free\"", "\"fre\""), "fre"),
+        (valid.replace("\"listen\":\"", "\"listen\":\"x"), "listen"),
+        (valid.replace("\"1f\"", "\"seed\""), "seed"),
+        (valid.replace("\"free\"", "\"fre\""), "fre"),
         (
-            good.replace("\"dialTimeoutS\":0.25", "\"dialTimeoutS\":1e300"),
+            valid.replace("\"dialTimeoutS\":0.25", "\"dialTimeoutS\":1e300"),
             "dialTimeoutS",
         ),
         (
-            good.replace(
+            valid.replace(
                 "\"seed\":\"1f\"",
                 "\"seed\":\"1f\",\"limits\":{\"sockets\":3}",
             ),
             "sockets",
         ),
         (
-            good.replace(
+            valid.replace(
                 "\"seed\":\"1f\"",
                 "\"seed\":\"1f\",\"limits\":{\"memory_mb\":3}",
             ),
             "memory_mb",
         ),
-        (good.clone(), "listen"),
+        (valid.clone(), "listen"),
     ];
-    for (at, (text, word)) in bad.iter().enumerate() {
+    for (at, (text, expected)) in invalid.iter().enumerate() {
         let path =
             std::env::temp_dir().join(format!("dunespur-bad-{}-{at}.json", std::process::id()));
         std::fs::write(&path, text).unwrap();
         let output = start(&path).wait_with_output().unwrap();
         _ = std::fs::remove_file(&path);
-        let told = String::from_utf8_lossy(&output.stderr).into_owned();
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(
-            !output.status.success() && told.lines().count() == 1 && told.contains(word),
-            "{word}: {told}"
+            !output.status.success() && stderr.lines().count() == 1 && stderr.contains(expected),
+            "{expected}: {stderr}"
         );
     }
 }
--- a/crates/serving/dunespur/src/core/coordinator/mod.rs
+++ b/crates/serving/dunespur/src/core/coordinator/mod.rs
@@ -18,7 +18,7 @@
     Input, Member, MemberConfig, MemberId, Message, Output, Peer, View,
 };
 use dunespur_storage::core::CoreDisk;
-use dunespur_storage::Opened;
+use dunespur_storage::OpenedDisk;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -81,7 +81,7 @@
     ) -> anyhow::Result<Rc<Coordinator>> {
         std::fs::create_dir_all(data_dir)
             .with_context(|| format!("creating the data folder {}", data_dir.display()))?;
-        let Opened {
+        let OpenedDisk {
             disk,
             identity: disk_identity,
             contents: durable,
--- a/crates/serving/dunespur/src/store/process.rs
+++ b/crates/serving/dunespur/src/store/process.rs
@@ -16,7 +16,7 @@
 use dunespur_rpc::Service;
 use dunespur_storage::recovery::set_aside_bytes;
 use dunespur_storage::turns::TurnDisk;
-use dunespur_storage::Opened;
+use dunespur_storage::OpenedDisk;
 use dunespur_turn_replication::ids::{CallerId, PeerRequestId};
 use dunespur_turn_replication::message::{StoreReply, StoreRequest};
 use dunespur_turn_replication::node::{
@@ -80,7 +80,7 @@
         std::fs::create_dir_all(data_dir)
             .with_context(|| format!("creating the data folder {}", data_dir.display()))?;
         let file = data_dir.join(DATABASE_FILE);
-        let Opened {
+        let OpenedDisk {
             disk,
             identity,
             contents: headers,
--- a/crates/serving/dunespur/tests/configuration_changes.rs
+++ b/crates/serving/dunespur/tests/configuration_changes.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use dunespur_emulator::client::{Kind, RequestSpec};
+use dunespur_emulator::client::{RequestKind, RequestSpec};
 use dunespur_emulator::configuration::{patch, RoutePlan, WeightedBackend};
 use dunespur_emulator::scene::{Scene, ScenePlan, HOST, LOOKUP, MODELS, TOOLS};
 use dunespur_emulator::system::Role;
@@ -15,7 +15,7 @@
 const APPLY_LIMIT: Duration = Duration::from_millis(2_000);
 
 fn added_route() -> RoutePlan {
-    RoutePlan::new("added", HOST, "/added/", Kind::ReadOnly, TOOLS)
+    RoutePlan::new("added", HOST, "/added/", RequestKind::ReadOnly, TOOLS)
 }
 
 /// Patches the version `base`, and records the new version for the check of violations.
@@ -84,7 +84,7 @@
 #[tokio::test]
 async fn a_route_moves_to_another_service() {
     let mut scene = serving_scene(ScenePlan::default()).await;
-    let mut moved = RoutePlan::new("lookup", HOST, LOOKUP, Kind::ReadOnly, MODELS);
+    let mut moved = RoutePlan::new("lookup", HOST, LOOKUP, RequestKind::ReadOnly, MODELS);
     moved.retries = 2;
     apply_patch(&mut scene, 1, 2, std::slice::from_ref(&moved), &[]).await;
     expect_status_everywhere(&scene, &RequestSpec::get(HOST, &format!("{LOOKUP}x")), 200).await;
@@ -150,7 +150,7 @@
     let mut scene = serving_scene(ScenePlan::default()).await;
     expect_accepted(&mut scene, 1, &patch(5, &[added_route()], &[])).await;
     for base in [0, 1, 4, 6] {
-        let other = RoutePlan::new("other", HOST, "/other/", Kind::ReadOnly, TOOLS);
+        let other = RoutePlan::new("other", HOST, "/other/", RequestKind::ReadOnly, TOOLS);
         let answer = scene
             .operator
             .patch(base, &patch(7, &[other], &[]), OPERATOR_REQUEST_LIMIT)
@@ -190,7 +190,7 @@
     let mut scene = serving_scene(ScenePlan::default()).await;
     let mut unknown_service = added_route();
     unknown_service.backends[0].backend = "nobody".to_owned();
-    let mut no_time = RoutePlan::new("no-time", HOST, "/no-time/", Kind::ReadOnly, TOOLS);
+    let mut no_time = RoutePlan::new("no-time", HOST, "/no-time/", RequestKind::ReadOnly, TOOLS);
     no_time.timeout_ms = 0;
     let body = patch(5, &[unknown_service, no_time], &[]);
     let answer = scene
@@ -257,7 +257,13 @@
         for side in 0..2 {
             let mut operator = scene.operator.clone();
             let name = format!("side-{side}");
-            let route = RoutePlan::new(&name, HOST, &format!("/{name}/"), Kind::ReadOnly, TOOLS);
+            let route = RoutePlan::new(
+                &name,
+                HOST,
+                &format!("/{name}/"),
+                RequestKind::ReadOnly,
+                TOOLS,
+            );
             let body = patch(base + 10, &[route], &[]);
             changes.spawn(async move {
                 operator
--- a/crates/serving/dunespur/tests/frozen.rs
+++ b/crates/serving/dunespur/tests/frozen.rs
@@ -3,8 +3,8 @@
 
 mod support;
 
-use dunespur_emulator::client::call::{call, Call, CallAnswer};
-use dunespur_emulator::client::Kind;
+use dunespur_emulator::client::call::{call, Call, CallResponse};
+use dunespur_emulator::client::RequestKind;
 use dunespur_emulator::configuration::{patch, RoutePlan};
 use dunespur_emulator::scene::{Scene, ScenePlan, HOST, TOOLS};
 use dunespur_emulator::system::Role;
@@ -29,7 +29,13 @@
 const HEARTBEATS: usize = 20;
 
 fn route(name: &str) -> RoutePlan {
-    RoutePlan::new(name, HOST, &format!("/{name}/"), Kind::ReadOnly, TOOLS)
+    RoutePlan::new(
+        name,
+        HOST,
+        &format!("/{name}/"),
+        RequestKind::ReadOnly,
+        TOOLS,
+    )
 }
 
 fn patch_call(base: u64, body: &Value) -> Call {
@@ -40,7 +46,7 @@
     patch_call
 }
 
-/// Kind of a call that is made while the process is frozen.
+/// RequestKind of a call that is made while the process is frozen.
 #[derive(Clone, Copy, Debug)]
 enum FrozenCall {
     Read,
@@ -65,13 +71,13 @@
     );
 }
 
-fn generation(answer: &CallAnswer) -> Value {
+fn generation(answer: &CallResponse) -> Value {
     serde_json::from_slice::<Value>(&answer.body).expect("the body should be JSON")["generation"]
         .clone()
 }
 
 /// Asserts that the answer reflects the newest version: 7, or 8 if the fresh change was accepted.
-fn expect_current(call_kind: FrozenCall, answer: &CallAnswer) {
+fn expect_current(call_kind: FrozenCall, answer: &CallResponse) {
     let newest = [json!(7), json!(8)];
     let text = String::from_utf8_lossy(&answer.body);
     match (call_kind, answer.status) {
--- a/crates/serving/dunespur/tests/support/mod.rs
+++ b/crates/serving/dunespur/tests/support/mod.rs
@@ -4,9 +4,9 @@
 pub mod disk;
 
 use disk::{fail_as_unavailable, stalled_since};
-use dunespur_emulator::client::{Kind, RequestSpec};
+use dunespur_emulator::client::{RequestKind, RequestSpec};
 use dunespur_emulator::configuration::{patch, RoutePlan};
-use dunespur_emulator::program::{play, Conversation, End};
+use dunespur_emulator::program::{play, Conversation, ProgramEnd};
 use dunespur_emulator::scene::{usual_program, Scene, ScenePlan, HOST, LOOKUP, TOOLS};
 use dunespur_emulator::system::Role;
 use serde_json::Value;
@@ -112,13 +112,13 @@
     while started_at.elapsed() < time + stalled_since(started_at) {
         let played = play(&scene.client, &usual_program()).await;
         if played.end
-            == (End::Failed {
+            == (ProgramEnd::Failed {
                 status: Some(RETRY_LATER),
             })
         {
             fail_as_unavailable(format!("{played:?}"));
         }
-        assert_eq!(played.end, End::Finished, "{played:?}");
+        assert_eq!(played.end, ProgramEnd::Finished, "{played:?}");
     }
 }
 
@@ -183,7 +183,13 @@
 pub async fn add_route(scene: &mut Scene, base: u64) -> u64 {
     let generation = base + 3;
     let name = format!("route-{generation}");
-    let route = RoutePlan::new(&name, HOST, &format!("/{name}/"), Kind::ReadOnly, TOOLS);
+    let route = RoutePlan::new(
+        &name,
+        HOST,
+        &format!("/{name}/"),
+        RequestKind::ReadOnly,
+        TOOLS,
+    );
     let plan =
         scene
             .configurations
--- a/crates/serving/dunespur/tests/upgrading.rs
+++ b/crates/serving/dunespur/tests/upgrading.rs
@@ -7,7 +7,7 @@
 mod support;
 
 use dunespur_emulator::client::Client;
-use dunespur_emulator::program::{play, Conversation, End};
+use dunespur_emulator::program::{play, Conversation, ProgramEnd};
 use dunespur_emulator::scene::{usual_program, Scene, ScenePlan};
 use dunespur_emulator::system::Role;
 use std::path::PathBuf;
@@ -46,7 +46,7 @@
 /// Runs agent programs one after the other until stopped.
 struct Traffic {
     stop: watch::Sender<bool>,
-    playing: JoinHandle<Vec<End>>,
+    playing: JoinHandle<Vec<ProgramEnd>>,
 }
 
 impl Traffic {
@@ -64,7 +64,7 @@
     }
 
     /// Waits for the running program and returns how all programs ended.
-    async fn stop(self) -> Vec<End> {
+    async fn stop(self) -> Vec<ProgramEnd> {
         self.stop
             .send(true)
             .expect("the traffic task should still run");
@@ -114,17 +114,17 @@
 }
 
 /// Asserts that all programs have finished.
-fn expect_finished(ends: &[End]) {
+fn expect_finished(ends: &[ProgramEnd]) {
     assert!(!ends.is_empty());
     for end in ends {
         if *end
-            == (End::Failed {
+            == (ProgramEnd::Failed {
                 status: Some(RETRY_LATER),
             })
         {
             fail_as_unavailable(format!("{ends:?}"));
         }
-        assert_eq!(*end, End::Finished, "{ends:?}");
+        assert_eq!(*end, ProgramEnd::Finished, "{ends:?}");
     }
 }
 
