--- a/crates/serving/dunespur/src/status/table.rs
+++ b/crates/serving/dunespur/src/status/table.rs
@@ -1,4 +1,4 @@
-//! A status as tables for people.
+//! Formats a status as text with tables, for people.
 
 use super::report::{
     ControlStatus, CoreStatus, DiskStatus, FrontStatus, GatewayEntryStatus, ProcessStatus,
@@ -6,20 +6,20 @@
 };
 use std::fmt::Write;
 
-/// Spaces between two columns.
-const GAP: usize = 2;
+/// Spaces between two columns of a table.
+const COLUMN_GAP: usize = 2;
 const KB_PER_MB: f64 = 1024.0;
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
 const MS_PER_SECOND: f64 = 1000.0;
 
-/// The complete text.
-pub fn of(status: &Status) -> String {
+/// Renders the complete status.
+pub fn render(status: &Status) -> String {
     let mut text = String::new();
-    push(&mut text, head(status));
-    push(&mut text, process(status.process));
-    push(&mut text, control(&status.control));
+    push_line(&mut text, header_line(status));
+    push_line(&mut text, process_line(status.process));
+    push_line(&mut text, control_line(&status.control));
     let link = status.link;
-    push(
+    push_line(
         &mut text,
         format!(
             "link: calls {}, unanswered {}, watches lost {}",
@@ -27,16 +27,16 @@
         ),
     );
     if let Some(known) = &status.view {
-        push(&mut text, view(known));
+        push_line(&mut text, view_line(known));
     }
     if let Some(member) = &status.core {
-        push(&mut text, core(member));
+        push_line(&mut text, core_line(member));
     }
     if let Some(counters) = status.front {
-        push(&mut text, front(counters));
+        push_line(&mut text, front_line(counters));
     }
     if let Some(budgets) = status.budgets {
-        push(
+        push_line(
             &mut text,
             format!(
                 "budgets: programs {}, turns waiting {}",
@@ -45,26 +45,26 @@
         );
     }
     if let Some(budget) = &status.program {
-        push(&mut text, program(budget));
+        push_line(&mut text, program_line(budget));
     }
     if let Some(stored) = status.turns {
-        push(&mut text, turns(stored));
+        push_line(&mut text, turns_line(stored));
     }
-    push_table(&mut text, gateways(&status.gateways));
-    push_table(&mut text, services(&status.services));
-    push_table(&mut text, stores(&status.stores));
+    push_table(&mut text, gateway_rows(&status.gateways));
+    push_table(&mut text, service_rows(&status.services));
+    push_table(&mut text, store_rows(&status.stores));
     if let Some(member) = &status.core {
-        push_table(&mut text, leases(member));
+        push_table(&mut text, lease_rows(member));
     }
     text
 }
 
-fn push(text: &mut String, line: String) {
+fn push_line(text: &mut String, line: String) {
     text.push_str(&line);
     text.push('\n');
 }
 
-fn head(status: &Status) -> String {
+fn header_line(status: &Status) -> String {
     let Status {
         node,
         role,
@@ -83,7 +83,7 @@
     )
 }
 
-fn process(process: ProcessStatus) -> String {
+fn process_line(process: ProcessStatus) -> String {
     format!(
         "process: memory {:.1} MB, {:.1} at most; processor {}; descriptors {}",
         process.memory_kb as f64 / KB_PER_MB,
@@ -93,7 +93,7 @@
     )
 }
 
-fn control(control: &ControlStatus) -> String {
+fn control_line(control: &ControlStatus) -> String {
     let index = control
         .index
         .map_or("nothing yet".to_owned(), |index| format!("index {index}"));
@@ -103,7 +103,7 @@
             format!("configuration {number}")
         });
     let last_answer = match (control.follows, control.silent_ms) {
-        (Some(member), Some(silent)) => format!("{member} answered {} ago", seconds(silent)),
+        (Some(member), Some(silent_ms)) => format!("{member} answered {} ago", seconds(silent_ms)),
         _ => "no core member has answered".to_owned(),
     };
     let contact = if control.in_touch {
@@ -114,7 +114,7 @@
     format!("control state: {index}, {generation}; {contact}, {last_answer}")
 }
 
-fn view(view: &ViewStatus) -> String {
+fn view_line(view: &ViewStatus) -> String {
     let mut chain: Vec<_> = view
         .members
         .iter()
@@ -123,42 +123,42 @@
     chain.sort_by_key(|member| member.chain_position);
     let chain: Vec<&str> = chain.iter().map(|member| member.node.as_str()).collect();
     let mut text = format!("view {}: chain {}", view.number, chain.join(" > "));
-    let out = view
+    let outside_chain = view
         .members
         .iter()
         .filter(|member| member.chain_position.is_none());
-    let out: Vec<&str> = out.map(|member| member.node.as_str()).collect();
-    if !out.is_empty() {
-        let _ = write!(text, "; OUT OF THE CHAIN {}", out.join(", "));
+    let outside_chain: Vec<&str> = outside_chain.map(|member| member.node.as_str()).collect();
+    if !outside_chain.is_empty() {
+        let _ = write!(text, "; OUT OF THE CHAIN {}", outside_chain.join(", "));
     }
     text
 }
 
-fn core(core: &CoreStatus) -> String {
-    let stands = match (core.current, core.follows) {
+fn core_line(core: &CoreStatus) -> String {
+    let state = match (core.current, core.follows) {
         (_, true) => "follows",
-        (true, false) => "HEARS A MAJORITY, GETS NO COMMITS",
-        (false, false) => "HEARS NO MAJORITY",
+        (true, false) => "CONNECTED TO A MAJORITY, NOT UP TO DATE",
+        (false, false) => "NOT CONNECTED TO A MAJORITY",
     };
     format!(
-        "core member: {stands}; committed {}, operations waiting {}, programs counted {} in {:.1} of {:.1} MB; {}",
+        "core member: {state}; committed {}, operations waiting {}, programs counted {} in {:.1} of {:.1} MB; {}",
         core.committed,
         core.waiting,
         core.programs,
         core.counter_bytes as f64 / BYTES_PER_MB,
         core.max_counter_bytes as f64 / BYTES_PER_MB,
-        disk(core.disk),
+        disk_summary(core.disk),
     )
 }
 
-fn disk(disk: DiskStatus) -> String {
+fn disk_summary(disk: DiskStatus) -> String {
     format!(
         "disk: done {}, waiting {}, failed {}",
         disk.done, disk.waiting, disk.failed
     )
 }
 
-fn front(front: FrontStatus) -> String {
+fn front_line(front: FrontStatus) -> String {
     format!(
         "front: {}; clients {} open, {} accepted; requests {}, rejected {}, failed {}; connections to servers {} \
          open, {} opened; bodies {:.1} MB",
@@ -174,7 +174,7 @@
     )
 }
 
-fn program(program: &ProgramStatus) -> String {
+fn program_line(program: &ProgramStatus) -> String {
     let number =
         |value: Option<u64>| value.map_or("unknown here".to_owned(), |value| value.to_string());
     format!(
@@ -186,7 +186,7 @@
     )
 }
 
-fn turns(turns: TurnsStatus) -> String {
+fn turns_line(turns: TurnsStatus) -> String {
     let mut state = vec![if turns.complete {
         "complete"
     } else {
@@ -209,13 +209,13 @@
         turns.capacity_bytes as f64 / BYTES_PER_MB,
         state.join(", "),
         turns.waiting,
-        disk(turns.disk),
+        disk_summary(turns.disk),
     )
 }
 
 type Row = Vec<String>;
 
-fn gateways(gateways: &[GatewayEntryStatus]) -> Vec<Row> {
+fn gateway_rows(gateways: &[GatewayEntryStatus]) -> Vec<Row> {
     let mut rows = vec![row(["GATEWAY", "ADDRESS", "ZONE"])];
     for gateway in gateways {
         rows.push(vec![
@@ -227,7 +227,7 @@
     rows
 }
 
-fn services(services: &[ServiceStatus]) -> Vec<Row> {
+fn service_rows(services: &[ServiceStatus]) -> Vec<Row> {
     let mut rows = vec![row([
         "SERVICE",
         "SERVER",
@@ -254,7 +254,7 @@
     rows
 }
 
-fn stores(stores: &[StoreStatus]) -> Vec<Row> {
+fn store_rows(stores: &[StoreStatus]) -> Vec<Row> {
     let mut rows = vec![row(["STORE", "ADDRESS", "ZONE", "STATE"])];
     for store in stores {
         rows.push(vec![
@@ -280,8 +280,8 @@
     state.join(", ")
 }
 
-fn leases(core: &CoreStatus) -> Vec<Row> {
-    let mut rows = vec![row(["LEASE", "SILENT", "LAPSES AFTER"])];
+fn lease_rows(core: &CoreStatus) -> Vec<Row> {
+    let mut rows = vec![row(["LEASE", "SILENT", "EXPIRES AFTER"])];
     for lease in &core.leases {
         rows.push(vec![
             lease.holder.clone(),
@@ -296,7 +296,7 @@
     cells.iter().map(|cell| (*cell).to_owned()).collect()
 }
 
-/// Adds a table, if it has more than its head; columns are as wide as their widest cell.
+/// Appends a table unless it has only its header; columns are as wide as their widest cell.
 fn push_table(text: &mut String, rows: Vec<Row>) {
     if rows.len() < 2 {
         return;
@@ -313,9 +313,9 @@
     for row in &rows {
         let mut line = String::new();
         for (cell, width) in row.iter().zip(&widths) {
-            let _ = write!(line, "{cell:<width$}{:GAP$}", "");
+            let _ = write!(line, "{cell:<width$}{:COLUMN_GAP$}", "");
         }
-        push(text, line.trim_end().to_owned());
+        push_line(text, line.trim_end().to_owned());
     }
 }
 
