--- a/crates/serving/budget/tests/common/digest.rs
+++ b/crates/serving/budget/tests/common/digest.rs
@@ -1,5 +1,5 @@
-//! A digest of a simulation's messages, decisions, times and final counters. Two versions of the code whose simulations
-//! have the same digests behave alike.
+//! A digest of a simulation's messages, decisions, times and final counters. If two versions of the code give the same
+//! digests, they behaved alike in these simulations.
 
 use dunespur_budget::{Admission, Rejection, TurnOutcome};
 use serde::Serialize;
@@ -10,33 +10,33 @@
 pub struct Digest(Xxh3);
 
 impl Digest {
-    pub fn number(&mut self, number: u64) {
+    pub fn hash_number(&mut self, number: u64) {
         self.0.update(&number.to_le_bytes());
     }
 
     /// Hashes the encoding of a message or state.
-    pub fn encoded(&mut self, value: &impl Serialize) {
+    pub fn hash_encoded(&mut self, value: &impl Serialize) {
         let bytes = postcard::to_stdvec(value).expect("the value is encodable");
-        self.number(bytes.len() as u64);
+        self.hash_number(bytes.len() as u64);
         self.0.update(&bytes);
     }
 
     /// Hashes a decision on a turn.
-    pub fn decision(&mut self, now: u64, limiter: usize, outcome: &TurnOutcome) {
-        self.number(now);
-        self.number(limiter as u64);
-        self.number(outcome.turn);
+    pub fn hash_decision(&mut self, now: u64, limiter: usize, outcome: &TurnOutcome) {
+        self.hash_number(now);
+        self.hash_number(limiter as u64);
+        self.hash_number(outcome.turn);
         match &outcome.admission {
-            Admission::Admitted => self.number(1),
-            Admission::Request(request) => self.encoded(&(2, request)),
-            Admission::Waiting => self.number(3),
-            Admission::Rejected(Rejection::Spent) => self.number(4),
+            Admission::Admitted => self.hash_number(1),
+            Admission::Request(request) => self.hash_encoded(&(2, request)),
+            Admission::Waiting => self.hash_number(3),
+            Admission::Rejected(Rejection::Spent) => self.hash_number(4),
             Admission::Rejected(Rejection::LeasedElsewhere { retry_after_ms }) => {
-                self.number(5);
-                self.number(*retry_after_ms);
+                self.hash_number(5);
+                self.hash_number(*retry_after_ms);
             }
-            Admission::Rejected(Rejection::CounterTimeout) => self.number(6),
-            Admission::Rejected(Rejection::AtCapacity) => self.number(7),
+            Admission::Rejected(Rejection::CounterTimeout) => self.hash_number(6),
+            Admission::Rejected(Rejection::AtCapacity) => self.hash_number(7),
         }
     }
 
--- a/crates/serving/budget/tests/common/world.rs
+++ b/crates/serving/budget/tests/common/world.rs
@@ -162,7 +162,7 @@
 
     /// The digest of the simulation so far, including the counters' state and the tally.
     pub fn digest(&mut self) -> u64 {
-        self.digest.encoded(&self.counters);
+        self.digest.hash_encoded(&self.counters);
         let Tally {
             admitted,
             spent,
@@ -171,7 +171,7 @@
             abandoned,
             requests,
         } = self.tally;
-        self.digest.encoded(&(
+        self.digest.hash_encoded(&(
             admitted,
             spent,
             leased_elsewhere,
@@ -265,7 +265,7 @@
 
     fn handle_outcome(&mut self, limiter: usize, outcome: TurnOutcome) {
         let key = outcome.turn;
-        self.digest.decision(self.now, limiter, &outcome);
+        self.digest.hash_decision(self.now, limiter, &outcome);
         self.record_wait(key, &outcome.admission);
         match outcome.admission {
             Admission::Admitted => {
@@ -376,7 +376,7 @@
 
     fn send(&mut self, request: CounterRequest) {
         self.tally.requests += 1;
-        self.digest.encoded(&(self.now, &request));
+        self.digest.hash_encoded(&(self.now, &request));
         self.transmit(Event::ToCounter(request));
     }
 
@@ -409,7 +409,7 @@
             .contains(&(request.limiter.clone(), request.sequence));
         let before = is_duplicate.then(|| self.counters.clone());
         let reply = self.counters.apply(&request, self.plan.limiters as u32);
-        self.digest.encoded(&(self.now, &request, &reply));
+        self.digest.hash_encoded(&(self.now, &request, &reply));
         if let Some(before) = before {
             assert_eq!(
                 before, self.counters,
--- a/crates/serving/chain-replication/src/member/receive_snapshot.rs
+++ b/crates/serving/chain-replication/src/member/receive_snapshot.rs
@@ -96,7 +96,7 @@
         let position = snapshot.position;
         // The log lacked commits, so it counts as complete in no view until it has caught up.
         self.synced_view = 0;
-        self.write_queue.truncate(0);
+        self.write_queue.limit_persisted_index(0);
         self.write_queue.write(Write::Truncate { index: 0 });
         self.write_queue.write(Write::Synced { view: 0 });
         self.outputs.push(Output::InstallSnapshot {
--- a/crates/serving/chain-replication/src/member/replicate.rs
+++ b/crates/serving/chain-replication/src/member/replicate.rs
@@ -92,7 +92,7 @@
         }
         self.log.truncate(index);
         self.persisted_index = self.persisted_index.min(index);
-        self.write_queue.truncate(index);
+        self.write_queue.limit_persisted_index(index);
         self.write_queue.write(Write::Truncate { index });
     }
 
--- a/crates/serving/chain-replication/src/reconfiguration.rs
+++ b/crates/serving/chain-replication/src/reconfiguration.rs
@@ -8,17 +8,17 @@
 /// The observations about one member of the view.
 #[derive(Clone, Debug)]
 pub struct MemberStatus {
-    /// Whether it is connected in both directions with each member, by member index.
+    /// For each member, by index: whether it is presumed connected with this member in both directions.
     pub connected: Vec<bool>,
-    /// It should be out of the chain if enough others are left, as it is leaving, its disk stalls, or its log lags.
+    /// It is leaving, its disk stalls, or its log lags: it should be out of the chain if enough other members are left.
     pub ineligible: bool,
     /// It is out of the chain and has been eligible for long enough to be readmitted.
     pub readmissible: bool,
-    /// How many members have lost it, the planning member included.
+    /// Number of other members, among them possibly the planning member, that have no connection with it.
     pub suspected_by: usize,
     /// Neither the planning member nor any member that it receives pings from is connected with it.
     pub unreachable: bool,
-    /// It has sent a ping in this view.
+    /// The planning member has received a ping of this view from it; always true of the planning member itself.
     pub reported: bool,
     /// It has been unreachable for so long that a joiner may replace it.
     pub replaceable: bool,
@@ -33,7 +33,8 @@
 pub struct JoinRequest {
     /// The new member.
     pub joiner: Peer,
-    /// It has requested this for so long that a failed member which it is to replace would be suspected by now.
+    /// It has sent requests for at least [`ADDITIONAL_JOINER_DELAY`](crate::timing::ADDITIONAL_JOINER_DELAY). If it were
+    /// meant to replace a failed member, that member would be suspected by now, so it may be an additional member.
     pub may_be_additional: bool,
 }
 
@@ -50,7 +51,7 @@
 /// The members and the chain that the next view should have.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
-    /// The members, which vote on the view after it.
+    /// The members of the next view, which vote on the view that follows it.
     pub members: Vec<Peer>,
     /// The chain from head to tail.
     pub chain: Vec<MemberId>,
@@ -64,7 +65,8 @@
     }
 }
 
-/// Plans the members and the chain of the next view; none while too few members are connected to make up a chain.
+/// Plans the members and the chain of the next view. Returns `None` if no chain of at least a majority of the planned
+/// members is possible.
 #[must_use]
 pub fn plan(observations: &Observations) -> Option<Plan> {
     let MembershipChange { members, joiner } = plan_members(observations);
@@ -110,7 +112,8 @@
     joiner: Option<Peer>,
 }
 
-/// Plans the members of the next view; they change by one at most, with joiners before removals.
+/// Plans the members of the next view. At most one member is added, replaced or removed; a joiner takes precedence over a
+/// removal.
 fn plan_members(observations: &Observations) -> MembershipChange {
     let mut members = observations.view.members.clone();
     for request in observations.join_requests {
@@ -155,7 +158,8 @@
         .iter()
         .position(|member| member.id.node == joiner.id.node)
     {
-        // A late join request of a node's former disk must not replace its reachable member.
+        // The node already has a member, with another disk. A delayed join request for the node's former disk must not
+        // replace that member while it is reachable.
         return if statuses[index].unreachable {
             JoinerSlot::Replacing(index)
         } else {
@@ -181,8 +185,9 @@
 }
 
 /// The member to remove from an even number of members: one that has been unreachable for long or is leaving. An even
-/// number tolerates no more losses than the odd number below it, and with one member lost it tolerates fewer. A removed
-/// member that comes back joins anew.
+/// number of members tolerates no more losses than the odd number below it: four tolerate one, as three do. If the fourth
+/// is lost and stays a member, no further loss is tolerated; if it is removed, one is. A removed member that comes back
+/// joins anew.
 fn removable_member(observations: &Observations) -> Option<usize> {
     let count = observations.view.members.len();
     if count <= MIN_MEMBERS || !count.is_multiple_of(2) {
@@ -195,9 +200,10 @@
     unreachable_for_long.or_else(|| removable_leaver(observations, count - 1))
 }
 
-/// A leaving member that may be removed at once, so that `members_after` members are left. Its process may still be
-/// draining; until it is removed it stays a voter whose loss is certain. The others must have every commit without it: with
-/// a majority of `members_after` synced in this view, every majority that decides the next view has a synced member.
+/// A leaving member that may be removed or replaced at once, after which there are `members_after` members. Its process may
+/// still be draining, but will certainly end, and until the member is removed it has a vote. The other members must have
+/// every commit without it: a majority of `members_after` must be synced in this view, so that every later majority
+/// contains a member with all commits.
 fn removable_leaver(observations: &Observations, members_after: usize) -> Option<usize> {
     let statuses = observations.statuses;
     let is_complete =
@@ -255,8 +261,8 @@
         }
     }
 
-    /// Appends to the chain the members out of it that stay, are eligible and wanted, and are connected with the whole
-    /// chain.
+    /// Appends to the planned `chain` each member that is in neither this chain nor that of the view, remains a member
+    /// (`stays`), is eligible, satisfies `is_wanted`, and is connected with all members of the planned chain.
     fn readmit(
         &self,
         chain: &mut Vec<usize>,
--- a/crates/serving/chain-replication/src/snapshot_transfer.rs
+++ b/crates/serving/chain-replication/src/snapshot_transfer.rs
@@ -1,5 +1,5 @@
-//! The transfer of a snapshot to another member in chunks that fit a message: sender and receiver, independent of the
-//! chain.
+//! Transfers a snapshot to another member in chunks that fit into a message. This module has the state of the sender and
+//! of the receiver, and does not depend on the chain.
 //!
 //! The receiver requests each chunk by acknowledging how many bytes it has. So lost, duplicated and reordered chunks do no
 //! harm, and after a broken connection the transfer resumes where it was. The receiver uses a snapshot only when it is
@@ -67,8 +67,9 @@
     /// The snapshot is larger than [`MAX_SNAPSHOT_BYTES`].
     #[error("the snapshot is larger than {MAX_SNAPSHOT_BYTES} bytes")]
     TooLarge,
-    /// The chunk is empty, too large, or goes beyond the end of the snapshot.
-    #[error("the chunk is empty, too large, or beyond the end of its snapshot")]
+    /// The chunk is larger than [`SNAPSHOT_CHUNK_BYTES`], goes beyond the end of the snapshot, or is empty although the
+    /// snapshot is not.
+    #[error("the chunk is empty, larger than {SNAPSHOT_CHUNK_BYTES} bytes, or beyond the end of its snapshot")]
     ChunkOutOfBounds,
     /// The assembled bytes don't have the checksum of the descriptor.
     #[error("the snapshot does not match its checksum")]
@@ -111,7 +112,7 @@
         }
     }
 
-    /// The reasons that are counted here but not yet in `before`.
+    /// The reasons for which rejections have occurred now, but had not in `before`.
     #[must_use]
     pub fn first_since(&self, before: &SnapshotRejections) -> Vec<SnapshotRejection> {
         let is_first =
@@ -193,7 +194,8 @@
         }
     }
 
-    /// Records that the receiver has acknowledged `received` bytes.
+    /// Records that the receiver has acknowledged `received` bytes. Every change of this number counts as progress, also a
+    /// decrease: a receiver that discards its bytes and starts again is still active.
     pub(crate) fn acknowledge(&mut self, received: u64, now: Millis) -> TransferState {
         if received != self.acknowledged {
             self.progressed_at = now;
@@ -206,7 +208,7 @@
         }
     }
 
-    /// When the chunk in flight is to be sent again.
+    /// When to send the chunk in flight again.
     pub(crate) fn retry_at(&self) -> Millis {
         self.last_sent_at + SNAPSHOT_CHUNK_RETRY
     }
--- a/crates/serving/chain-replication/src/write_queue.rs
+++ b/crates/serving/chain-replication/src/write_queue.rs
@@ -11,13 +11,13 @@
 /// An action that runs once the writes queued before it are on disk.
 #[derive(Clone, Debug)]
 pub(crate) enum Completion {
-    /// A promise or an acceptance may be sent.
+    /// Send a promise or an acceptance to this member.
     SendVote { to: MemberId, message: Box<Message> },
-    /// The first view, bootstrapped at this member, may be sent to its other members.
+    /// Send the first view, bootstrapped at this member, to its other members.
     AnnounceFirstView,
-    /// The log is on disk up to this index.
+    /// Note that the log is on disk up to this index.
     LogPersisted { index: LogIndex },
-    /// The record that the log is complete as of this view is on disk.
+    /// Note that the record is on disk that the log is complete as of this view.
     SyncedViewPersisted { view: ViewNumber },
 }
 
@@ -48,7 +48,8 @@
         self.writes.push(write);
     }
 
-    /// Queues a completion to run once all writes queued so far are on disk.
+    /// Queues a completion to run once all writes queued so far are on disk. A [`Completion::LogPersisted`] that follows
+    /// another one replaces its index.
     pub(crate) fn when_persisted(&mut self, completion: Completion) {
         if let (
             Completion::LogPersisted { index },
@@ -89,7 +90,7 @@
         }
     }
 
-    /// The completions that needn't wait, as no write is in flight or queued.
+    /// Removes and returns the queued completions if no write is in flight or queued, so that they need not wait.
     pub(crate) fn take_ready(&mut self) -> Vec<Completion> {
         if self.in_flight.is_some() || !self.writes.is_empty() {
             return Vec::new();
@@ -97,14 +98,15 @@
         std::mem::take(&mut self.completions)
     }
 
-    /// The queued completions, whether or not their writes are on disk: for tests that remove
+    /// Removes and returns the queued completions, whether or not their writes are on disk. For tests that remove
     /// `Safeguard::PersistBeforeSend`.
     pub(crate) fn take_unpersisted(&mut self) -> Vec<Completion> {
         std::mem::take(&mut self.completions)
     }
 
-    /// Lowers the pending completions to `index`, as the entries after it were removed from the log.
-    pub(crate) fn truncate(&mut self, index: LogIndex) {
+    /// Limits the index of every pending [`Completion::LogPersisted`] to `index`, because the log entries after it were
+    /// removed.
+    pub(crate) fn limit_persisted_index(&mut self, index: LogIndex) {
         let in_flight = self
             .in_flight
             .iter_mut()
--- a/crates/serving/chain-replication/tests/digests.rs
+++ b/crates/serving/chain-replication/tests/digests.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 use world::fault_tolerance::{self, window_in, Change};
-use world::faults::{play_in, schedule, storm, Schedule};
+use world::faults::{overlapping_faults, run_schedule_in, schedule, Schedule};
 use world::{Setup, World};
 
 const SEEDS: u64 = 100;
@@ -66,11 +66,11 @@
     }
 }
 
-/// Plays a world and gives its digest. A world that violates a guarantee ends there and has a digest too.
-fn play_for_digest(setup: Setup, plan: Schedule) -> u64 {
+/// Simulates a world and returns its digest. A world that violates a guarantee ends there and has a digest too.
+fn run_for_digest(setup: Setup, plan: Schedule) -> u64 {
     let mut world = World::new(setup);
     world.begin_record();
-    let _ = play_in(&mut world, plan);
+    let _ = run_schedule_in(&mut world, plan);
     world.digest()
 }
 
@@ -81,20 +81,20 @@
     world.digest()
 }
 
-/// All kinds of world that the tests of this package play, without and with all safeguards.
+/// All kinds of world that the tests of this package simulate, with all safeguards and without one of them.
 fn kinds() -> Vec<WorldKind> {
     let mut kinds = vec![
         WorldKind::new("faults", SEEDS, |seed| {
-            play_for_digest(usual(seed), schedule(&usual(seed), 2))
+            run_for_digest(usual(seed), schedule(&usual(seed), 2))
         }),
         WorldKind::new("storm", SEEDS, |seed| {
-            play_for_digest(usual(seed), storm(&usual(seed)))
+            run_for_digest(usual(seed), overlapping_faults(&usual(seed)))
         }),
         WorldKind::new("spoilt-snapshots", SEEDS, |seed| {
-            play_for_digest(corrupted(seed), schedule(&corrupted(seed), 1))
+            run_for_digest(corrupted(seed), schedule(&corrupted(seed), 1))
         }),
         WorldKind::new("slow-links", SEEDS, |seed| {
-            play_for_digest(slow_links(seed), schedule(&slow_links(seed), 1))
+            run_for_digest(slow_links(seed), schedule(&slow_links(seed), 1))
         }),
         WorldKind::new("window", SEEDS, |seed| {
             window_digest(Change::ALL[seed as usize % Change::ALL.len()], seed)
@@ -146,7 +146,7 @@
                 safeguards,
                 ..corrupted(seed)
             };
-            play_for_digest(setup, schedule(&setup, 2))
+            run_for_digest(setup, schedule(&setup, 2))
         })
     };
     let mut kinds: Vec<WorldKind> = named.into_iter().map(kind).collect();
@@ -158,7 +158,7 @@
                 wiped_keep_identity: true,
                 ..usual(seed)
             };
-            play_for_digest(setup, schedule(&setup, 2))
+            run_for_digest(setup, schedule(&setup, 2))
         },
     ));
     kinds
--- a/crates/serving/chain-replication/tests/fault_tolerance.rs
+++ b/crates/serving/chain-replication/tests/fault_tolerance.rs
@@ -164,7 +164,7 @@
 }
 
 #[test]
-#[ignore = "plays one seed, to look at it: WINDOW_CHANGE=PlannedReplacement WINDOW_MACHINES=4 WINDOW_SEED=n CHAIN_TRACE=1"]
+#[ignore = "runs one seed for debugging: WINDOW_CHANGE=PlannedReplacement WINDOW_MACHINES=4 WINDOW_SEED=n CHAIN_TRACE=1"]
 fn one_seed() {
     let number = |name: &str| std::env::var(name).ok()?.parse::<u64>().ok();
     let name = std::env::var("WINDOW_CHANGE").unwrap_or_default();
--- a/crates/serving/chain-replication/tests/faults.rs
+++ b/crates/serving/chain-replication/tests/faults.rs
@@ -1,14 +1,16 @@
-//! Seeded worlds with all kinds of faults: no acknowledged payload is lost, and the core recovers.
+//! Simulated clusters with random faults from fixed seeds: no acknowledged payload is lost, and the replicated core
+//! accepts writes again after the faults.
 
 mod world;
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
-use world::faults::{play, schedule, storm, Schedule, WorldCounts};
+use world::faults::{overlapping_faults, run_schedule, schedule, Schedule, WorldCounts};
 use world::Setup;
 
+/// Number of phases of faults in each schedule.
 const PHASES: usize = 3;
-/// Seeds of each test, unless `CHAIN_SEEDS` is set.
+/// Number of seeds of each test, unless `CHAIN_SEEDS` is set. `CHAIN_FIRST` sets the first seed, which is 0 by default.
 const SEEDS: u64 = 1_000;
 
 /// The failures and the sums of the counts of all worlds.
@@ -45,8 +47,8 @@
     }
 }
 
-/// Plays the seeds in a few threads.
-fn play_all(seeds: std::ops::Range<u64>, plan: impl Fn(&Setup) -> Schedule + Sync) -> Tally {
+/// Runs the seeds in a few threads.
+fn run_all(seeds: std::ops::Range<u64>, plan: impl Fn(&Setup) -> Schedule + Sync) -> Tally {
     let next = AtomicU64::new(seeds.start);
     let tally = Mutex::new(Tally::default());
     let workers = std::thread::available_parallelism()
@@ -60,7 +62,7 @@
                     return;
                 }
                 let setup = setup(seed);
-                let result = play(setup, plan(&setup));
+                let result = run_schedule(setup, plan(&setup));
                 tally.lock().expect("no worker panics").add(result);
             });
         }
@@ -78,7 +80,7 @@
     Setup::new(seed, 3 + (seed % 4) as usize)
 }
 
-/// The seeds to play, and their number.
+/// The seeds to run, and their number.
 fn seeds() -> (std::ops::Range<u64>, u64) {
     let first = from_environment("CHAIN_FIRST").unwrap_or(0);
     let count = from_environment("CHAIN_SEEDS").unwrap_or(SEEDS);
@@ -88,48 +90,57 @@
 #[test]
 fn cores_of_three_to_six_tolerate_all_kinds_of_faults() {
     let (seeds, count) = seeds();
-    let tally = play_all(seeds, |setup| schedule(setup, PHASES));
+    let tally = run_all(seeds, |setup| schedule(setup, PHASES));
     tally.assert_none_failed();
-    // Guards against worlds that exercise too few writes, reads or snapshots.
+    // Simulations with too few writes, reads or snapshots would test little.
     assert!(
         tally.acknowledged > 200 * count,
-        "{} writes",
+        "only {} writes were acknowledged in {count} simulations",
         tally.acknowledged
     );
-    assert!(tally.reads > 50 * count, "{} reads", tally.reads);
+    assert!(
+        tally.reads > 50 * count,
+        "only {} reads succeeded in {count} simulations",
+        tally.reads
+    );
     assert!(
         tally.snapshots_taken > count / 4,
-        "{} snapshots",
+        "only {} snapshots were taken in {count} simulations",
         tally.snapshots_taken
     );
     assert!(
         tally.snapshots_installed > count / 20,
-        "{} installed",
+        "only {} snapshots were installed in {count} simulations",
         tally.snapshots_installed
     );
 }
 
 #[test]
-fn cores_of_three_to_six_tolerate_storms() {
+fn cores_of_three_to_six_tolerate_overlapping_view_changes() {
     let (seeds, count) = seeds();
-    let tally = play_all(seeds, storm);
+    let tally = run_all(seeds, overlapping_faults);
     tally.assert_none_failed();
+    // Simulations with too few writes or reads would test little.
     assert!(
         tally.acknowledged > 50 * count,
-        "{} writes",
+        "only {} writes were acknowledged in {count} simulations",
         tally.acknowledged
     );
-    assert!(tally.reads > 10 * count, "{} reads", tally.reads);
+    assert!(
+        tally.reads > 10 * count,
+        "only {} reads succeeded in {count} simulations",
+        tally.reads
+    );
 }
 
 #[test]
-#[ignore = "plays one seed, to look at it: CHAIN_SEED=n CHAIN_TRACE=1"]
+#[ignore = "runs one seed for debugging: CHAIN_SEED=n CHAIN_TRACE=1, and CHAIN_STORM=1 for overlapping faults"]
 fn one_seed() {
     let seed = from_environment("CHAIN_SEED").unwrap_or(0);
     let setup = setup(seed);
     let plan = match from_environment("CHAIN_STORM") {
-        Some(_) => storm(&setup),
+        Some(_) => overlapping_faults(&setup),
         None => schedule(&setup, PHASES),
     };
-    play(setup, plan).expect("no guarantee is violated");
+    run_schedule(setup, plan).unwrap_or_else(|violation| panic!("{violation}"));
 }
--- a/crates/serving/chain-replication/tests/recovery_times.rs
+++ b/crates/serving/chain-replication/tests/recovery_times.rs
@@ -26,7 +26,9 @@
     setup.padding = 0;
     setup.max_sync_ms = 4;
     let mut world = World::new(setup);
-    world.play_to(STABLE_AT).expect("no guarantee is violated");
+    world
+        .run_until(STABLE_AT)
+        .unwrap_or_else(|violation| panic!("{violation}"));
     world.check_complete(20).expect("all members are complete");
     world
 }
@@ -44,12 +46,16 @@
 fn inject(world: &mut World, fault: Fault) {
     let at = world.now + 1;
     world.fault_at(at, fault);
-    world.play_to(at).expect("no guarantee is violated");
+    world
+        .run_until(at)
+        .unwrap_or_else(|violation| panic!("{violation}"));
 }
 
-fn play(world: &mut World, duration: Millis) {
+fn run_for(world: &mut World, duration: Millis) {
     let end = world.now + duration;
-    world.play_to(end).expect("no guarantee is violated");
+    world
+        .run_until(end)
+        .unwrap_or_else(|violation| panic!("{violation}"));
 }
 
 fn assert_commit_gap_below(world: &World, since: Millis, limit: Millis) {
@@ -82,7 +88,7 @@
                 back_after: NEVER,
             },
         );
-        play(world, 4_000);
+        run_for(world, 4_000);
         assert_commit_gap_below(world, since, SILENT_LOSS);
         assert!(!world.is_in_chain(machine));
     });
@@ -99,7 +105,7 @@
                 back_after: NEVER,
             },
         );
-        play(world, 4_000);
+        run_for(world, 4_000);
         assert_commit_gap_below(world, since, CLOSED_CONNECTION);
     });
 }
@@ -117,7 +123,7 @@
                 other,
             },
         );
-        play(world, 2_000);
+        run_for(world, 2_000);
         assert_commit_gap_below(world, since, CLOSED_CONNECTION + 100);
         assert_eq!(
             view_number(world),
@@ -133,11 +139,11 @@
     each_position(|world, machine| {
         let since = world.now;
         inject(world, Fault::StallDisk { machine });
-        play(world, 5_000);
+        run_for(world, 5_000);
         assert_commit_gap_below(world, since, STALLED_DISK);
         assert!(!world.is_in_chain(machine));
         let changed = view_number(world);
-        play(world, 5_000);
+        run_for(world, 5_000);
         assert_eq!(
             view_number(world),
             changed,
@@ -145,7 +151,7 @@
             world.describe("the view keeps changing".into())
         );
         inject(world, Fault::UnstallDisk { machine });
-        play(world, CATCH_UP);
+        run_for(world, CATCH_UP);
         assert_complete(world);
     });
 }
@@ -168,7 +174,7 @@
             for (from, to) in others.iter().map(|other| link_with(*other)) {
                 inject(world, Fault::Partition { from, to });
             }
-            play(world, 3_000);
+            run_for(world, 3_000);
             assert_commit_gap_below(world, since, SILENT_LOSS + 300);
             assert!(
                 !world.is_in_chain(machine),
@@ -176,7 +182,7 @@
                 world.describe(format!("m{machine} is in the chain"))
             );
             let changed = view_number(world);
-            play(world, 10_000);
+            run_for(world, 10_000);
             assert_eq!(
                 view_number(world),
                 changed,
@@ -186,7 +192,7 @@
             for (from, to) in others.iter().map(|other| link_with(*other)) {
                 inject(world, Fault::Heal { from, to });
             }
-            play(world, CATCH_UP);
+            run_for(world, CATCH_UP);
             assert_complete(world);
         }
     });
@@ -211,10 +217,10 @@
                 to: machine,
             },
         );
-        play(world, 3_000);
+        run_for(world, 3_000);
         assert_commit_gap_below(world, since, SILENT_LOSS + 300);
         let changed = view_number(world);
-        play(world, 10_000);
+        run_for(world, 10_000);
         assert_eq!(
             view_number(world),
             changed,
@@ -239,7 +245,7 @@
                 back_after: 2_500,
             },
         );
-        play(world, 2_500 + CATCH_UP);
+        run_for(world, 2_500 + CATCH_UP);
         assert_commit_gap_below(world, since, SILENT_LOSS);
         assert_complete(world);
     });
@@ -257,7 +263,7 @@
                 back_after: 500,
             },
         );
-        play(world, 500 + CATCH_UP);
+        run_for(world, 500 + CATCH_UP);
         assert_commit_gap_below(world, since, SILENT_LOSS);
         assert_complete(world);
         assert_eq!(
@@ -279,7 +285,7 @@
                 back_after: 100,
             },
         );
-        play(world, 100 + CATCH_UP);
+        run_for(world, 100 + CATCH_UP);
         assert_commit_gap_below(world, since, SILENT_LOSS);
         assert_complete(world);
         assert_eq!(
@@ -295,7 +301,7 @@
         let mut world = stable_world(seed, 3 + (seed % 3) as usize);
         let since = world.now;
         inject(&mut world, Fault::Add);
-        play(&mut world, 2_000);
+        run_for(&mut world, 2_000);
         assert_commit_gap_below(&world, since, PLANNED_CHANGE);
         assert_complete(&world);
     }
@@ -312,13 +318,13 @@
                 back_after: NEVER,
             },
         );
-        play(world, 290);
+        run_for(world, 290);
         assert!(
             !world.is_in_chain(machine),
             "{}",
             world.describe(format!("m{machine} is in the chain"))
         );
-        play(world, 2_000);
+        run_for(world, 2_000);
         assert_commit_gap_below(world, since, PLANNED_CHANGE);
     });
 }
@@ -329,7 +335,7 @@
         let before = view_number(world);
         let since = world.now;
         inject(world, Fault::Freeze { machine });
-        play(world, 2_000);
+        run_for(world, 2_000);
         assert_commit_gap_below(world, since, SILENT_LOSS);
         inject(world, Fault::Thaw { machine });
         assert!(
@@ -337,7 +343,7 @@
             "{}",
             world.describe("messages that arrived during its suspension give it a quorum".into())
         );
-        play(world, CATCH_UP);
+        run_for(world, CATCH_UP);
         assert_complete(world);
         assert_eq!(
             view_number(world),
@@ -354,7 +360,7 @@
         let before = view_number(world);
         let since = world.now;
         inject(world, Fault::Freeze { machine });
-        play(world, 4_000);
+        run_for(world, 4_000);
         assert_commit_gap_below(world, since, SILENT_LOSS);
         inject(world, Fault::Thaw { machine });
         assert!(
@@ -362,7 +368,7 @@
             "{}",
             world.describe("it has a quorum right after its suspension".into())
         );
-        play(world, CATCH_UP);
+        run_for(world, CATCH_UP);
         assert_complete(world);
         // The member is removed from the chain and readmitted. An even number of members also removes it from the view, so
         // that it has to join again.
@@ -382,9 +388,9 @@
     each_position(|world, machine| {
         let before = view_number(world);
         inject(world, Fault::Freeze { machine });
-        play(world, 500);
+        run_for(world, 500);
         inject(world, Fault::Thaw { machine });
-        play(world, 2_000);
+        run_for(world, 2_000);
         assert_eq!(
             view_number(world),
             before,
@@ -414,7 +420,7 @@
                 };
                 inject(&mut world, fault);
             }
-            play(&mut world, 600 + CATCH_UP);
+            run_for(&mut world, 600 + CATCH_UP);
             assert_commit_gap_below(&world, since, SILENT_LOSS);
             assert_complete(&world);
         }
@@ -428,10 +434,12 @@
         setup.write_every = NEVER;
         setup.read_every = NEVER;
         let mut world = World::new(setup);
-        world.play_to(STABLE_AT).expect("no guarantee is violated");
+        world
+            .run_until(STABLE_AT)
+            .unwrap_or_else(|violation| panic!("{violation}"));
         let steps = world.steps;
         let seconds = 60;
-        play(&mut world, seconds * 1_000);
+        run_for(&mut world, seconds * 1_000);
         assert_eq!(view_number(&world), 1);
         let per_member = (world.steps - steps) / seconds / machines as u64;
         let pings_received = 5 * (machines as u64 - 1);
@@ -460,10 +468,10 @@
                 back_after: NEVER,
             },
         );
-        play(&mut world, 1_500);
+        run_for(&mut world, 1_500);
         let count = world.committed_count();
         assert!(!world.has_quorum(2));
-        play(&mut world, 10_000);
+        run_for(&mut world, 10_000);
         assert_eq!(world.committed_count(), count);
     }
 }
@@ -475,14 +483,14 @@
     let mut other = view.clone();
     other.chain.reverse();
     world.give_input(1, Input::Bootstrap { view: other });
-    play(&mut world, 2_000);
+    run_for(&mut world, 2_000);
     assert_eq!(world.newest_view(), Some(&view));
 }
 
 #[test]
 fn a_restarted_member_ignores_echoes_of_its_earlier_incarnation() {
     each_position(|world, machine| {
-        play(world, 20_000);
+        run_for(world, 20_000);
         inject(
             world,
             Fault::Kill {
@@ -490,7 +498,7 @@
                 back_after: 300,
             },
         );
-        play(world, 1_500);
+        run_for(world, 1_500);
         assert!(world.has_quorum(machine));
         for other in (0..world.machines.len()).filter(|other| *other != machine) {
             inject(
@@ -501,7 +509,7 @@
                 },
             );
         }
-        play(world, 1_200);
+        run_for(world, 1_200);
         assert!(
             !world.has_quorum(machine),
             "{}",
--- a/crates/serving/chain-replication/tests/safeguards.rs
+++ b/crates/serving/chain-replication/tests/safeguards.rs
@@ -3,21 +3,21 @@
 mod world;
 
 use dunespur_chain_replication::{Safeguard, Safeguards};
-use world::faults::{play, schedule, storm};
+use world::faults::{overlapping_faults, run_schedule, schedule};
 use world::Setup;
 
 const PHASES: usize = 3;
 /// Number of seeds that are tried for a counterexample.
 const SEEDS: u64 = 400;
-/// Number of storms that are tried for a counterexample.
-const SEEDS_OF_STORMS: u64 = 4_000;
+/// Number of schedules of overlapping faults that are tried for a counterexample.
+const OVERLAPPING_FAULT_SEEDS: u64 = 4_000;
 
 /// The first violation of safety in worlds without a safeguard, if any. A core that stalls doesn't count.
 fn counterexample(without: impl Fn(&mut Setup)) -> Option<String> {
     (0..SEEDS).find_map(|seed| {
         let mut setup = Setup::new(seed, 3 + (seed % 4) as usize);
         without(&mut setup);
-        play(setup, schedule(&setup, PHASES))
+        run_schedule(setup, schedule(&setup, PHASES))
             .err()
             .filter(|text| is_safety_violation(text))
     })
@@ -79,14 +79,14 @@
 }
 
 /// The failure takes two members that propose at the same time, and the loss of the message that the first proposal was
-/// decided. This happens in storms with three members.
+/// decided. This happens under overlapping faults with three members.
 #[test]
 fn without_deciding_once_two_views_have_one_number() {
-    let found = (0..SEEDS_OF_STORMS).find_map(|seed| {
+    let found = (0..OVERLAPPING_FAULT_SEEDS).find_map(|seed| {
         let mut setup = Setup::new(seed, 3);
         setup.max_sync_ms = 4;
         setup.safeguards = Safeguards::without(Safeguard::DecideOnce);
-        play(setup, storm(&setup))
+        run_schedule(setup, overlapping_faults(&setup))
             .err()
             .filter(|text| text.contains("two views"))
     });
--- a/crates/serving/chain-replication/tests/snapshots.rs
+++ b/crates/serving/chain-replication/tests/snapshots.rs
@@ -5,7 +5,7 @@
 
 use dunespur_chain_replication::limits::SNAPSHOT_CHUNK_BYTES;
 use dunespur_chain_replication::{Millis, Safeguard, Safeguards};
-use world::faults::{play, schedule, Fault};
+use world::faults::{run_schedule, schedule, Fault};
 use world::{Setup, World};
 
 /// By this time the first view is in force and the core is stable.
@@ -39,11 +39,11 @@
 fn loaded_world(setup: Setup) -> World {
     let mut world = World::new(setup);
     world
-        .play_to(STABLE_AT)
+        .run_until(STABLE_AT)
         .expect("the first view is installed");
     world
-        .play_to(STABLE_AT + 15_000)
-        .expect("no guarantee is violated");
+        .run_until(STABLE_AT + 15_000)
+        .unwrap_or_else(|violation| panic!("{violation}"));
     // More than the log retains until a snapshot is taken and for members that were down briefly.
     assert!(
         world.committed_count() * CHANGE_BYTES > 14 * MB,
@@ -53,11 +53,11 @@
     world
 }
 
-/// Plays until all machines are in the chain with all commits, and gives the time that this took.
+/// Simulates until all machines are in the chain with all commits, and returns the time that this took.
 fn time_until_complete(world: &mut World) -> Result<Millis, String> {
     let since = world.now;
     loop {
-        world.play_to(world.now + 10)?;
+        world.run_until(world.now + 10)?;
         match world.check_complete(MAX_BEHIND) {
             Ok(()) => return Ok(world.now - since),
             Err(text) if world.now > since + 30_000 => return Err(text),
@@ -78,7 +78,7 @@
         },
     );
     world
-        .play_to(world.now + 1_001)
+        .run_until(world.now + 1_001)
         .expect("the machine restarts");
     let installed = world.snapshots_installed;
     let took = time_until_complete(&mut world).expect("the machine catches up");
@@ -125,7 +125,7 @@
         let installed = world.snapshots_installed;
         world.fault_at(world.now, fault(machine));
         world
-            .play_to(world.now + outage_ms + 1)
+            .run_until(world.now + outage_ms + 1)
             .expect("the machine restarts");
         let took = time_until_complete(&mut world).unwrap_or_else(|text| panic!("{text}"));
         worst = worst.max(took);
@@ -176,7 +176,7 @@
             },
         );
         world
-            .play_to(world.now + 1_001)
+            .run_until(world.now + 1_001)
             .expect("the replacement starts");
         let took = time_until_complete(&mut world).unwrap_or_else(|text| panic!("{text}"));
         eprintln!("seed {seed}: a replacement complete after {took} ms");
@@ -214,7 +214,7 @@
                 );
             }
         }
-        world.play_to(back + 1).expect("the machine restarts");
+        world.run_until(back + 1).expect("the machine restarts");
         let bytes_sent = world.chunk_bytes_transferred;
         let took = time_until_complete(&mut world).expect("the machine catches up");
         let bytes_sent = world.chunk_bytes_transferred - bytes_sent;
@@ -245,7 +245,8 @@
     let mut installed = 0;
     for seed in 0..120 {
         let setup = corrupted(seed);
-        let counts = play(setup, schedule(&setup, 2)).unwrap_or_else(|text| panic!("{text}"));
+        let counts =
+            run_schedule(setup, schedule(&setup, 2)).unwrap_or_else(|text| panic!("{text}"));
         installed += counts.snapshots_installed;
     }
     assert!(
@@ -259,7 +260,7 @@
     (0..seeds).find_map(|seed| {
         let setup = setup(seed);
         let signs = ["was committed before", "out of order", "wrong snapshot"];
-        let violation = play(setup, schedule(&setup, 3)).err();
+        let violation = run_schedule(setup, schedule(&setup, 3)).err();
         violation.filter(|text| signs.iter().any(|sign| text.contains(sign)))
     })
 }
--- a/crates/serving/chain-replication/tests/world/fault_tolerance.rs
+++ b/crates/serving/chain-replication/tests/world/fault_tolerance.rs
@@ -220,7 +220,7 @@
 /// As [`window`], in a newly created world.
 pub fn window_in(world: &mut World, change: Change) -> Result<Millis, String> {
     let machines = world.setup.machines;
-    world.play_to(STABLE_AT)?;
+    world.run_until(STABLE_AT)?;
     let leaving = &[];
     if !world.tolerates(tolerated(machines), leaving) {
         return Err(world.describe("too few losses are tolerated before the change".into()));
@@ -234,7 +234,7 @@
     while world.now < end {
         let next = world.now + SAMPLE_EVERY;
         let next_step_at = steps.peek().map_or(next, |(at, _)| next.min(*at));
-        world.play_to(next_step_at)?;
+        world.run_until(next_step_at)?;
         while let Some((_, step)) = steps.next_if(|(at, _)| *at <= next_step_at) {
             world.execute_step(step, &mut leaving);
         }
--- a/crates/serving/chain-replication/tests/world/faults.rs
+++ b/crates/serving/chain-replication/tests/world/faults.rs
@@ -169,16 +169,17 @@
     }
 }
 
-/// Duration of a storm.
-const STORM_LASTS: Millis = 12_000;
-const EARLIEST_STORM: Millis = 350;
-/// Longest time between the starts of two faults of a storm.
-const STORM_GAP: Millis = 350;
-/// Longest duration of a fault of a storm; few last longer than their detection takes.
-const STORM_FAULT: Millis = 1_300;
+/// Duration of a schedule of overlapping faults.
+const OVERLAPPING_FAULTS_DURATION: Millis = 12_000;
+/// Start of overlapping faults that begin during the bootstrap.
+const EARLIEST_FAULT: Millis = 350;
+/// Longest time between the starts of two overlapping faults.
+const MAX_FAULT_GAP: Millis = 350;
+/// Longest duration of an overlapping fault; few last longer than their detection takes.
+const MAX_SHORT_FAULT: Millis = 1_300;
 
-/// A schedule of short faults in quick succession, so that changes of view overlap. No disk is lost.
-pub fn storm(setup: &Setup) -> Schedule {
+/// A schedule of short faults in quick succession, so that view changes overlap. No disk is lost.
+pub fn overlapping_faults(setup: &Setup) -> Schedule {
     let mut planner = Planner {
         rng: Rng::with_seed(setup.seed ^ 0x5707),
         available: (0..setup.machines).collect(),
@@ -186,16 +187,16 @@
         faults: Vec::new(),
         ends_at: FIRST_FAULT,
     };
-    // Some storms overlap the bootstrap.
+    // Some schedules overlap the bootstrap.
     let mut at = if setup.seed % 4 == 1 {
-        EARLIEST_STORM
+        EARLIEST_FAULT
     } else {
         FIRST_FAULT
     };
-    let end = FIRST_FAULT + STORM_LASTS;
+    let end = FIRST_FAULT + OVERLAPPING_FAULTS_DURATION;
     while at < end {
-        planner.storm_fault(at);
-        at += 1 + planner.rng.u64(0..STORM_GAP);
+        planner.push_short_fault(at);
+        at += 1 + planner.rng.u64(0..MAX_FAULT_GAP);
     }
     planner.push(end, Fault::Duplicating { on: false });
     planner.push(end, Fault::Losing { on: false });
@@ -206,11 +207,11 @@
 }
 
 impl Planner {
-    /// Adds a random fault of a storm.
-    fn storm_fault(&mut self, at: Millis) {
+    /// Adds a random short fault.
+    fn push_short_fault(&mut self, at: Millis) {
         let machine = self.draw_machine();
         let other = self.draw_machine();
-        let duration = 5 + self.rng.u64(0..STORM_FAULT);
+        let duration = 5 + self.rng.u64(0..MAX_SHORT_FAULT);
         match self.rng.u32(0..12) {
             0 | 1 => self.push_lasting(
                 at,
@@ -466,26 +467,26 @@
     pub snapshots_installed: u64,
 }
 
-/// Plays a schedule and checks that the core is writable and complete in the end.
-pub fn play(setup: Setup, plan: Schedule) -> Result<WorldCounts, String> {
-    play_in(&mut World::new(setup), plan)
+/// Simulates a schedule and checks that the core is writable and complete at the end.
+pub fn run_schedule(setup: Setup, plan: Schedule) -> Result<WorldCounts, String> {
+    run_schedule_in(&mut World::new(setup), plan)
 }
 
-/// As [`play`], in a newly created world.
-pub fn play_in(world: &mut World, plan: Schedule) -> Result<WorldCounts, String> {
+/// As [`run_schedule`], in a newly created world.
+pub fn run_schedule_in(world: &mut World, plan: Schedule) -> Result<WorldCounts, String> {
     for (at, fault) in plan.faults {
         world.fault_at(at, fault);
     }
-    world.play_to(plan.ends_at + 1)?;
+    world.run_until(plan.ends_at + 1)?;
     world.watch_new_payloads();
     for index in world.running() {
         world.submit(index);
     }
-    world.play_to(plan.ends_at + WRITABLE_AFTER)?;
+    world.run_until(plan.ends_at + WRITABLE_AFTER)?;
     if world.watched_committed_at.is_none() {
         return Err(world.describe("nothing was committed after the last fault".into()));
     }
-    world.play_to(plan.ends_at + COMPLETE_AFTER)?;
+    world.run_until(plan.ends_at + COMPLETE_AFTER)?;
     world.check_complete(20)?;
     Ok(WorldCounts {
         acknowledged: world.acknowledged,
--- a/crates/serving/chain-replication/tests/world/mod.rs
+++ b/crates/serving/chain-replication/tests/world/mod.rs
@@ -305,8 +305,8 @@
         self.schedule(at, Event::Fault(fault));
     }
 
-    /// Plays up to a time, or to the first violation.
-    pub fn play_to(&mut self, end: Millis) -> CheckResult {
+    /// Simulates up to a time, or to the first violation.
+    pub fn run_until(&mut self, end: Millis) -> CheckResult {
         while self
             .events
             .peek()
--- a/crates/serving/configuration/src/document.rs
+++ b/crates/serving/configuration/src/document.rs
@@ -1,6 +1,6 @@
 //! A complete configuration, stored as the operator sent it.
 
-use crate::{location::Location, model::Model, parser, patch, Findings};
+use crate::{location::Location, model::ConfigurationContent, parser, patch, Findings};
 use serde::{de::Error, Deserialize, Deserializer, Serialize, Serializer};
 use std::{str, sync::Arc};
 
@@ -44,8 +44,8 @@
     /// A finding, if the text is not JSON.
     pub fn from_accepted(text: impl Into<Arc<str>>) -> Result<Document, Findings> {
         let text = text.into();
-        let model = parser::parse_accepted(&text)?;
-        Ok(Document::from_model(text, &model))
+        let content = parser::parse_accepted(&text)?;
+        Ok(Document::from_content(text, &content))
     }
 
     /// Applies the patch in `body` to this configuration and validates the result.
@@ -83,15 +83,15 @@
     }
 
     fn validated(text: &str) -> Result<Document, Findings> {
-        let model = parser::validate(text)?;
-        Ok(Document::from_model(Arc::from(text), &model))
+        let content = parser::validate(text)?;
+        Ok(Document::from_content(Arc::from(text), &content))
     }
 
-    fn from_model(text: Arc<str>, model: &Model) -> Document {
-        let retentions = model.routes.iter().map(|placed| placed.route.retention_ms);
+    fn from_content(text: Arc<str>, content: &ConfigurationContent) -> Document {
+        let retentions = content.routes.iter().map(|entry| entry.route.retention_ms);
         Document {
             text,
-            generation: model.generation,
+            generation: content.generation,
             longest_retention_ms: retentions.max().unwrap_or(0),
         }
     }
--- a/crates/serving/configuration/src/model.rs
+++ b/crates/serving/configuration/src/model.rs
@@ -1,4 +1,4 @@
-//! The typed content of a configuration.
+//! Types of a parsed configuration.
 
 /// The kind of a route's requests, which decides whether they may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -14,25 +14,28 @@
 /// The handling of a route's requests. The [`RouteTable`](crate::RouteTable) holds the hosts and prefixes that match.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// The name that patches use for the route.
+    /// The name by which a configuration patch refers to the route.
     pub name: String,
     /// The kind of the route's requests.
     pub kind: RequestKind,
     /// Maximum duration of a request in milliseconds; never 0.
     pub timeout_ms: u64,
-    /// The latency target of responses, in milliseconds.
+    /// The latency target of responses, in milliseconds; by default the timeout. Without `gap_target_ms` it also applies
+    /// between two events of a streamed response.
     pub target_ms: u64,
     /// The latency target between two events of a streamed response, in milliseconds. Configured as `gap_aim_ms`.
     pub gap_target_ms: Option<u64>,
     /// The priority of the route's requests; 0 is the highest.
     pub priority: u8,
-    /// Maximum number of servers to which one request of a client may be sent.
+    /// Maximum number of servers to which one request of a client may be sent, the first one included; 1 means no
+    /// failover.
     pub retries: u32,
-    /// Whether the route's requests are turns, whose inputs and events are stored.
+    /// Whether the inputs and events of the route's requests are stored. A stored request is called a turn.
     pub persisted: bool,
     /// How long turns are stored, in milliseconds.
     pub retention_ms: u64,
-    /// Whether requests name the segments of their prompts, for prefix affinity.
+    /// Whether clients name the segments of their prompts in requests, so that a server with the prompt's prefix in its
+    /// cache can be preferred. Informational: the data plane does not read it.
     pub sticky: bool,
     /// Whether a stream may be resumed on another server.
     pub resumable: bool,
@@ -65,7 +68,7 @@
     ///
     /// # Panics
     ///
-    /// Never, because the weights of a validated route add up to more than 0.
+    /// If the weights add up to 0, which a validated route excludes.
     #[must_use]
     pub fn backend(&self, draw: u64) -> &str {
         let mut remaining = self.scaled_draw(draw);
@@ -112,7 +115,7 @@
     pub engine: Option<Engine>,
 }
 
-/// The properties of a service's model servers.
+/// The capacity and the models of a service's servers, if they run language models.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Engine {
     /// Maximum number of requests that one server runs at once; 0 if unknown.
@@ -121,7 +124,7 @@
     pub kv_capacity: u64,
     /// The size of a cached token in bytes; 0 if unknown.
     pub kv_token_bytes: u64,
-    /// The bandwidth for cached tokens between servers in megabits a second; 0 if unknown.
+    /// The bandwidth between servers for the transfer of cached tokens, in megabits per second; 0 if unknown.
     pub link_mbps: f64,
     /// The number of tokens in one event of a stream; never 0.
     pub chunk_tokens: u32,
@@ -160,7 +163,7 @@
 
 /// A route with the host and path prefix that it matches.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct PlacedRoute {
+pub(crate) struct RouteWithMatch {
     /// The host in lower case.
     pub(crate) host: String,
     /// The path prefix, which begins and ends with a slash in a validated configuration.
@@ -168,11 +171,11 @@
     pub(crate) route: Route,
 }
 
-/// The typed content of a configuration.
+/// The content of a parsed configuration, without its text.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub(crate) struct Model {
+pub(crate) struct ConfigurationContent {
     pub(crate) generation: u64,
-    pub(crate) routes: Vec<PlacedRoute>,
+    pub(crate) routes: Vec<RouteWithMatch>,
     pub(crate) services: Vec<Service>,
     pub(crate) limits: Limits,
 }
--- a/crates/serving/configuration/src/parser.rs
+++ b/crates/serving/configuration/src/parser.rs
@@ -1,4 +1,4 @@
-//! Parses a configuration from JSON into its typed model.
+//! Parses a configuration from JSON into typed content.
 //!
 //! The parser replaces invalid values by defaults and continues, so that all findings are reported at once, in the
 //! order in which the fields are parsed.
@@ -7,7 +7,10 @@
     draft::Draft,
     fields::{ceil_saturating, Fields},
     location::Location,
-    model::{Engine, Limits, Model, PlacedRoute, RequestKind, Route, Service, WeightedBackend},
+    model::{
+        ConfigurationContent, Engine, Limits, RequestKind, Route, RouteWithMatch, Service,
+        WeightedBackend,
+    },
     validation, Findings,
 };
 use serde_json::Value;
@@ -28,20 +31,20 @@
 const MAX_WEIGHT: u64 = 1 << 50;
 
 /// Parses and validates the text of a configuration.
-pub(crate) fn validate(text: &str) -> Result<Model, Findings> {
+pub(crate) fn validate(text: &str) -> Result<ConfigurationContent, Findings> {
     let ParsedDraft {
         draft,
         mut findings,
     } = parse_draft(text)?;
     validation::validate(&draft, &mut findings);
     findings.or_ok(())?;
-    Ok(draft.into_model())
+    Ok(draft.into_content())
 }
 
 /// Parses the text of a configuration that was valid when it was accepted. Values that an older version of this program
 /// accepted and this version would reject are ignored.
-pub(crate) fn parse_accepted(text: &str) -> Result<Model, Findings> {
-    Ok(parse_draft(text)?.draft.into_model())
+pub(crate) fn parse_accepted(text: &str) -> Result<ConfigurationContent, Findings> {
+    Ok(parse_draft(text)?.draft.into_content())
 }
 
 /// The parsed parts of a configuration, and the findings about the rest.
@@ -97,12 +100,12 @@
     all
 }
 
-fn route(fields: &Fields<'_>, findings: &mut Findings) -> PlacedRoute {
+fn route(fields: &Fields<'_>, findings: &mut Findings) -> RouteWithMatch {
     let host = fields.required_string("host", findings).unwrap_or_default();
     let path_prefix = fields
         .required_string("path_prefix", findings)
         .unwrap_or_default();
-    PlacedRoute {
+    RouteWithMatch {
         host: host.to_ascii_lowercase(),
         path_prefix: path_prefix.to_owned(),
         route: Route {
--- a/crates/serving/configuration/src/route_table.rs
+++ b/crates/serving/configuration/src/route_table.rs
@@ -1,7 +1,7 @@
 //! Lookups of routes and services by the data plane.
 
 use crate::{
-    model::{Model, PlacedRoute},
+    model::{ConfigurationContent, RouteWithMatch},
     parser, Document, Findings, Limits, Route, Service,
 };
 use std::{collections::BTreeMap, rc::Rc};
@@ -29,13 +29,13 @@
     #[must_use]
     pub fn new(document: &Document) -> RouteTable {
         // A document's text was parsed successfully before, so parsing it again cannot fail.
-        RouteTable::from_model(parser::parse_accepted(document.json()).unwrap_or_default())
+        RouteTable::from_content(parser::parse_accepted(document.json()).unwrap_or_default())
     }
 
     /// Creates a table without routes and services, for use before the first configuration.
     #[must_use]
     pub fn empty() -> RouteTable {
-        RouteTable::from_model(Model::default())
+        RouteTable::from_content(ConfigurationContent::default())
     }
 
     /// Creates the table from the text of a configuration that was accepted before. Equivalent to a table of
@@ -45,7 +45,7 @@
     ///
     /// A finding, if the text is not JSON.
     pub fn from_accepted(json: &str) -> Result<RouteTable, Findings> {
-        Ok(RouteTable::from_model(parser::parse_accepted(json)?))
+        Ok(RouteTable::from_content(parser::parse_accepted(json)?))
     }
 
     /// The generation number that the operator assigned to the configuration.
@@ -85,22 +85,22 @@
         self.limits
     }
 
-    fn from_model(model: Model) -> RouteTable {
+    fn from_content(content: ConfigurationContent) -> RouteTable {
         let mut hosts: BTreeMap<String, Host> = BTreeMap::new();
-        for placed in model.routes {
-            let PlacedRoute {
+        for entry in content.routes {
+            let RouteWithMatch {
                 host,
                 path_prefix,
                 route,
-            } = placed;
+            } = entry;
             hosts.entry(host).or_default().add(path_prefix, route);
         }
         let by_name = |service: Service| (service.name.clone(), Rc::new(service));
         RouteTable {
-            generation: model.generation,
+            generation: content.generation,
             hosts,
-            services: model.services.into_iter().map(by_name).collect(),
-            limits: model.limits,
+            services: content.services.into_iter().map(by_name).collect(),
+            limits: content.limits,
         }
     }
 
--- a/crates/serving/configuration/src/validation.rs
+++ b/crates/serving/configuration/src/validation.rs
@@ -3,7 +3,7 @@
 use crate::{
     draft::Draft,
     location::Location,
-    model::{PlacedRoute, Service},
+    model::{RouteWithMatch, Service},
     Findings,
 };
 use std::collections::{HashMap, HashSet};
@@ -48,7 +48,7 @@
 }
 
 /// Checks that every path prefix begins and ends with a slash.
-fn validate_prefixes(routes: &[Option<PlacedRoute>], findings: &mut Findings) {
+fn validate_prefixes(routes: &[Option<RouteWithMatch>], findings: &mut Findings) {
     let array = Location::Top.field("routes");
     for (index, route) in routes.iter().enumerate() {
         let Some(route) = route else { continue };
@@ -64,7 +64,7 @@
 }
 
 /// Checks that no two routes have the same host and prefix, because a request would match both.
-fn validate_distinct_routes(routes: &[Option<PlacedRoute>], findings: &mut Findings) {
+fn validate_distinct_routes(routes: &[Option<RouteWithMatch>], findings: &mut Findings) {
     let array = Location::Top.field("routes");
     let mut first_uses = HashMap::new();
     for (index, route) in routes.iter().enumerate() {
@@ -83,7 +83,7 @@
 
 /// Checks that every service that a route names is configured, including services of weight 0.
 fn validate_service_names(
-    routes: &[Option<PlacedRoute>],
+    routes: &[Option<RouteWithMatch>],
     services: &[Option<Service>],
     findings: &mut Findings,
 ) {
--- a/crates/serving/control-state/src/configuration.rs
+++ b/crates/serving/control-state/src/configuration.rs
@@ -11,11 +11,14 @@
 
 /// The current configuration and the records that make configuration requests idempotent.
 ///
-/// Of two requests on the same generation the first is accepted and the second conflicts. A repeated request that was
-/// accepted before is acknowledged again, even if others were accepted since, because its first acknowledgement may
-/// have been lost. A rejected request can be accepted later only by a call made after the rejection. A request on an
-/// earlier generation, or one that is invalid on the current generation, can never be accepted; a request on a future
-/// generation is fenced.
+/// Of two valid requests that build on the same generation, the first is accepted and the second gets a conflict. A
+/// repeated request that was accepted before is acknowledged again, even if others were accepted since, because its
+/// first acknowledgement may have been lost.
+///
+/// A rejected request can take effect later only if the caller sends it again after the rejection, not through a
+/// duplicate still in flight. A request that builds on an earlier generation, or that is invalid on the current
+/// generation, can never be accepted. A request that builds on a future generation is rejected, and that generation is
+/// fenced: later requests on it are considered only with a fencing token.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Configuration {
     current: Option<Document>,
@@ -57,8 +60,8 @@
         }
     }
 
-    /// The change that brings a new subscriber up to date, if there is a configuration.
-    pub(crate) fn initial_changes(&self) -> Option<Change> {
+    /// The change that sends the current configuration, if there is one, to subscribers.
+    pub(crate) fn as_change(&self) -> Option<Change> {
         let document = self.current.as_ref()?;
         Some(Change::Configuration {
             generation: document.generation(),
@@ -66,7 +69,8 @@
         })
     }
 
-    /// Discards the record of accepted requests. Used only without [`Safeguard::AcceptedRequestsInSnapshot`].
+    /// Discards the record of accepted requests. For tests that remove
+    /// [`Safeguard::AcceptedRequestsInSnapshot`].
     pub(crate) fn discard_accepted_requests(&mut self) {
         self.accepted = AcceptedRequests::default();
     }
@@ -75,7 +79,7 @@
         self.current.as_ref().map_or(0, Document::generation)
     }
 
-    /// Rejects a request on a future generation.
+    /// Rejects a request that builds on a future generation, and fences that generation.
     fn reject_future(&mut self, base: u64) -> Outcome {
         match self.fenced.record_rejection(base) {
             RejectionRecord::Recorded => Outcome::GenerationConflict {
@@ -85,7 +89,8 @@
         }
     }
 
-    /// The fencing token that the request must contain, if its own token is older.
+    /// The fencing token with which the caller has to repeat the request; `None` if the generation is not fenced or the
+    /// request has this token or a newer one.
     fn required_token(
         &self,
         request: &ConfigurationRequest,
@@ -105,7 +110,11 @@
             (ConfigurationRequestKind::Patch, None) => Document::empty().patch(&request.body)?,
         };
         if document.generation() <= self.generation() {
-            let problem = format!("is not above the current one, {}", self.generation());
+            let problem = format!(
+                "{} is not above the current generation, {}",
+                document.generation(),
+                self.generation()
+            );
             return Err(Findings::one("generation", problem));
         }
         Ok(document)
@@ -120,7 +129,7 @@
         self.accepted.record(request);
         self.fenced.discard_below(document.generation());
         self.current = Some(document);
-        changes.extend(self.initial_changes());
+        changes.extend(self.as_change());
         Outcome::Accepted
     }
 }
--- a/crates/serving/control-state/src/fenced_generations.rs
+++ b/crates/serving/control-state/src/fenced_generations.rs
@@ -6,14 +6,15 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Maximum number of recorded future generations. Requests on further ones get no definite answer, which bounds memory
-/// against callers that invent generations.
+/// Maximum number of future generations with a recorded rejection. Requests on any other future generation then get no
+/// definite answer. This bounds the memory that callers can use up with arbitrary generations.
 const MAX_GENERATIONS: usize = 1_024;
 
 /// Recorded rejections of requests on future generations.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct FencedGenerations {
-    rejections: u64,
+    /// The newest fencing token, which is also the number of recorded rejections.
+    last_token: u64,
     /// The fencing token of each generation on which a request was rejected.
     tokens: BTreeMap<u64, u64>,
 }
@@ -23,7 +24,7 @@
 pub(crate) enum RejectionRecord {
     /// The rejection was recorded; duplicates of the request are fenced.
     Recorded,
-    /// No capacity is left; the request must not get a definite rejection.
+    /// No capacity is left. The request must not get a definite rejection, because a duplicate could still be accepted.
     AtCapacity,
 }
 
@@ -33,8 +34,8 @@
         if self.tokens.len() >= MAX_GENERATIONS && !self.tokens.contains_key(&base) {
             return RejectionRecord::AtCapacity;
         }
-        self.rejections += 1;
-        self.tokens.insert(base, self.rejections);
+        self.last_token += 1;
+        self.tokens.insert(base, self.last_token);
         RejectionRecord::Recorded
     }
 
--- a/crates/serving/control-state/src/state.rs
+++ b/crates/serving/control-state/src/state.rs
@@ -123,7 +123,7 @@
     #[must_use]
     pub fn initial_changes(&self) -> Vec<Change> {
         let mut changes = Vec::new();
-        changes.extend(self.configuration.initial_changes());
+        changes.extend(self.configuration.as_change());
         changes.extend(self.gateways.initial_changes());
         changes.extend(self.stores.initial_changes());
         changes.extend(self.servers.initial_changes());
--- a/crates/serving/control-state/tests/world_digests.rs
+++ b/crates/serving/control-state/tests/world_digests.rs
@@ -1,4 +1,5 @@
-//! Simulations produce the messages, times and states whose digests are recorded in `world/digests.txt`.
+//! The simulation of each seed must have the digest of messages, times and states that is recorded in
+//! `world/digests.txt`. A difference means that the behaviour has changed.
 
 mod world;
 
@@ -10,7 +11,7 @@
 const FAULT_GROUPS: usize = 1;
 /// Number of recorded seeds.
 const SEEDS: u64 = 100;
-/// Every this many seeds have large filler payloads, which cause snapshots but make the simulation slow.
+/// One seed in this many has large filler payloads, which cause snapshots but slow the simulation down.
 const LARGE_PAYLOADS_EVERY: u64 = 20;
 const LARGE_PAYLOAD_BYTES: usize = 24_000;
 
--- a/crates/serving/turn-replication/src/chain_completion.rs
+++ b/crates/serving/turn-replication/src/chain_completion.rs
@@ -1,5 +1,5 @@
 //! Completes chains: fetches the missing ancestors of stored turns from the other stores, one store after the other.
-//! Puts that need a missing ancestor are parked until it is stored, because a store acknowledges a turn only with
+//! Puts that need a missing ancestor are deferred until it is stored, because a store acknowledges a turn only with
 //! its complete chain.
 
 use std::collections::BTreeMap;
@@ -13,26 +13,26 @@
 const MAX_PENDING_REQUESTS: usize = 8;
 /// Maximum number of turns searched for at the same time.
 const MAX_SEARCHES: usize = 256;
-/// Maximum number of puts parked for one missing turn.
-const MAX_PARKED_PUTS: usize = 32;
+/// Maximum number of puts deferred for one missing turn.
+const MAX_DEFERRED_PUTS: usize = 32;
 /// Delay before a turn that no store had is searched for again, if a stored turn still needs it, in milliseconds.
 const SEARCH_BACKOFF_MS: u64 = 2_000;
 
 /// A put that waits for a missing ancestor of its turn.
 #[derive(Debug)]
-pub struct ParkedPut {
+pub struct DeferredPut {
     /// The caller that waits for the acknowledgement.
     pub caller: CallerId,
     /// The turn to be stored.
     pub turn: RetainedTurn,
     /// The replica that this store substitutes for, if any.
-    pub hint: Option<String>,
+    pub substitute_for: Option<String>,
 }
 
-/// A put was not parked because too many puts wait for the same turn or too many searches are in progress.
+/// A put was not deferred because too many puts wait for the same turn or too many searches are in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("too many turns wait for missing ancestors")]
-pub struct TooManyParked {
+pub struct TooManyDeferred {
     /// The caller of the rejected put.
     pub caller: CallerId,
 }
@@ -53,7 +53,7 @@
     state: SearchState,
     /// Stores that were not queried yet, the next one last.
     sources: Vec<String>,
-    parked: Vec<ParkedPut>,
+    deferred: Vec<DeferredPut>,
 }
 
 /// A request to fetch a turn and its ancestors from another store.
@@ -85,18 +85,18 @@
         self.begin_search(id, sources.to_vec());
     }
 
-    /// Parks a put until the turn `id` is stored, and starts the search for that turn if there is none yet.
+    /// Defers a put until the turn `id` is stored, and starts the search for that turn if there is none yet.
     ///
     /// # Errors
     ///
-    /// [`TooManyParked`] if there are too many searches, or too many puts wait for this turn.
-    pub fn park(
+    /// [`TooManyDeferred`] if there are too many searches, or too many puts wait for this turn.
+    pub fn defer(
         &mut self,
         id: &str,
         sources: Vec<String>,
-        put: ParkedPut,
-    ) -> Result<(), TooManyParked> {
-        let rejected = TooManyParked { caller: put.caller };
+        put: DeferredPut,
+    ) -> Result<(), TooManyDeferred> {
+        let rejected = TooManyDeferred { caller: put.caller };
         if !self.searches.contains_key(id) {
             if self.searches.len() >= MAX_SEARCHES {
                 return Err(rejected);
@@ -104,8 +104,8 @@
             self.begin_search(id, sources);
         }
         match self.searches.get_mut(id) {
-            Some(search) if search.parked.len() < MAX_PARKED_PUTS => {
-                search.parked.push(put);
+            Some(search) if search.deferred.len() < MAX_DEFERRED_PUTS => {
+                search.deferred.push(put);
                 Ok(())
             }
             _ => Err(rejected),
@@ -118,7 +118,7 @@
         let search = Search {
             state: SearchState::Ready,
             sources,
-            parked: Vec::new(),
+            deferred: Vec::new(),
         };
         self.searches.insert(id.to_owned(), search);
     }
@@ -129,11 +129,11 @@
         self.searches.is_empty()
     }
 
-    /// Total bytes of the turns of parked puts.
+    /// Total bytes of the turns of deferred puts.
     #[must_use]
     pub fn bytes(&self) -> u64 {
-        let parked = self.searches.values().flat_map(|search| &search.parked);
-        parked.map(|put| put.turn.turn.size()).sum()
+        let deferred = self.searches.values().flat_map(|search| &search.deferred);
+        deferred.map(|put| put.turn.turn.size()).sum()
     }
 
     /// Returns the next request to be sent, if the limit of pending requests allows one.
@@ -155,8 +155,8 @@
         })
     }
 
-    /// Ends one search that has no store left to query, and returns the puts that were parked for its turn.
-    pub fn next_exhausted(&mut self, now_ms: u64) -> Option<Vec<ParkedPut>> {
+    /// Ends one search that has no store left to query, and returns the puts that were deferred for its turn.
+    pub fn next_exhausted(&mut self, now_ms: u64) -> Option<Vec<DeferredPut>> {
         let (id, _) = self
             .searches
             .iter()
@@ -167,7 +167,7 @@
             .retain(|_, until_ms| *until_ms > now_ms);
         let until_ms = now_ms.saturating_add(SEARCH_BACKOFF_MS);
         self.backoff_until_ms.insert(id, until_ms);
-        Some(search.parked)
+        Some(search.deferred)
     }
 
     /// The queried store does not hold the turn or could not be reached.
@@ -186,11 +186,11 @@
     }
 
     /// The turn is on disk, from a search or from any other request. Ends its search and returns the puts that were
-    /// parked for it.
-    pub fn stored(&mut self, id: &str) -> Vec<ParkedPut> {
+    /// deferred for it.
+    pub fn stored(&mut self, id: &str) -> Vec<DeferredPut> {
         self.backoff_until_ms.remove(id);
         let search = self.searches.remove(id);
-        search.map(|search| search.parked).unwrap_or_default()
+        search.map(|search| search.deferred).unwrap_or_default()
     }
 
     fn change_state(&mut self, id: &str, from: SearchState, to: SearchState) {
--- a/crates/serving/turn-replication/src/commit_queue.rs
+++ b/crates/serving/turn-replication/src/commit_queue.rs
@@ -7,29 +7,30 @@
 use crate::message::Rejection;
 use crate::turn::{RetainedTurn, Turn, TurnHeader};
 
-/// Maximum bytes of queued turns, not counting the commit in flight.
+/// Maximum bytes of queued turns, not counting the commit in flight. A single entry may exceed it if nothing else is
+/// queued.
 const MAX_QUEUED_BYTES: u64 = 16 << 20;
 /// Maximum bytes of turns in one commit, unless a single entry is larger.
 const MAX_BATCH_BYTES: u64 = 4 << 20;
 
-/// The party that waits for a commit.
+/// What a commit was requested for, and what is informed of its end.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Waiter {
+pub enum CommitRequester {
     /// A caller that is sent an acknowledgement.
     Caller {
         /// The caller to reply to.
         caller: CallerId,
         /// The replica that this store substitutes for, if any.
-        hint: Option<String>,
+        substitute_for: Option<String>,
     },
     /// The pull that fetched the turns.
     Pull {
         /// Serial number of the pull, see [`crate::anti_entropy::AntiEntropy::next_request`].
         serial: u64,
     },
-    /// The search for a missing ancestor.
-    Completion {
-        /// Id of the ancestor.
+    /// The search for a missing earlier turn of a turn's chain.
+    AncestorSearch {
+        /// Id of the missing turn.
         id: String,
     },
 }
@@ -48,15 +49,15 @@
 pub struct CommitEntry {
     /// The turns that are written.
     pub turns: Vec<CommitTurn>,
-    /// The party that waits for these turns to be synced.
-    pub waiter: Waiter,
+    /// What is informed once these turns are synced.
+    pub requester: CommitRequester,
 }
 
 #[derive(Debug)]
 struct QueuedEntry {
     turns: Vec<RetainedTurn>,
     bytes: u64,
-    waiter: Waiter,
+    requester: CommitRequester,
 }
 
 /// Turns that are queued for the disk or being written.
@@ -72,8 +73,12 @@
     ///
     /// # Errors
     ///
-    /// [`Rejection::Busy`] if too many bytes are queued already: an unlimited queue would exhaust the memory.
-    pub fn push(&mut self, turns: Vec<RetainedTurn>, waiter: Waiter) -> Result<(), Rejection> {
+    /// [`Rejection::Busy`] if the queue is not empty and would exceed `MAX_QUEUED_BYTES`, which bounds its memory.
+    pub fn push(
+        &mut self,
+        turns: Vec<RetainedTurn>,
+        requester: CommitRequester,
+    ) -> Result<(), Rejection> {
         let bytes = turns.iter().map(|retained| retained.turn.size()).sum();
         if !self.queued.is_empty() && self.queued_bytes + bytes > MAX_QUEUED_BYTES {
             return Err(Rejection::Busy);
@@ -82,7 +87,7 @@
         self.queued.push_back(QueuedEntry {
             turns,
             bytes,
-            waiter,
+            requester,
         });
         Ok(())
     }
@@ -113,7 +118,7 @@
         });
         self.in_flight.push(CommitEntry {
             turns: committed.collect(),
-            waiter: entry.waiter,
+            requester: entry.requester,
         });
         turns.extend(entry.turns.into_iter().map(|retained| retained.turn));
     }
@@ -136,7 +141,8 @@
         self.queued_bytes + in_flight.map(|turn| turn.header.size).sum::<u64>()
     }
 
-    /// The previous turn of the turn `id`; the outer `None` means that `id` is neither queued nor in flight.
+    /// The previous turn of the turn `id`: `None` if the turn is neither queued nor in flight, `Some(None)` if it has no
+    /// previous turn.
     #[must_use]
     pub fn previous_of(&self, id: &str) -> Option<Option<&str>> {
         let in_flight = self.in_flight.iter().flat_map(|entry| &entry.turns);
--- a/crates/serving/turn-replication/src/node/commits.rs
+++ b/crates/serving/turn-replication/src/node/commits.rs
@@ -3,7 +3,7 @@
 use super::interface::{DiskOutcome, DiskWork};
 use super::purposes::JobPurpose;
 use super::state::{StoreNode, EXPIRY_SWEEP_MS};
-use crate::commit_queue::{CommitEntry, Waiter};
+use crate::commit_queue::{CommitEntry, CommitRequester};
 use crate::message::{Rejection, StoreReply};
 use crate::safeguards::Safeguard;
 use crate::turn::RetainedTurn;
@@ -12,17 +12,22 @@
 const MAX_REMOVALS_PER_JOB: usize = 256;
 
 impl StoreNode {
-    /// Queues turns for the next commit; if the queue is full, the waiting party is informed of the failure.
-    pub(super) fn commit(&mut self, turns: Vec<RetainedTurn>, waiter: Waiter, now_ms: u64) {
-        if let Err(rejection) = self.commits.push(turns, waiter.clone()) {
-            self.commit_failed(waiter, rejection, now_ms);
+    /// Queues turns for the next commit; if the queue is full, the requester is informed of the failure.
+    pub(super) fn commit(
+        &mut self,
+        turns: Vec<RetainedTurn>,
+        requester: CommitRequester,
+        now_ms: u64,
+    ) {
+        if let Err(rejection) = self.commits.push(turns, requester.clone()) {
+            self.commit_failed(requester, rejection, now_ms);
         }
     }
 
     pub(super) fn commit_done(&mut self, outcome: &DiskOutcome, now_ms: u64) {
         for entry in self.commits.finish_commit() {
             if *outcome == DiskOutcome::Failed {
-                self.commit_failed(entry.waiter, Rejection::Disk, now_ms);
+                self.commit_failed(entry.requester, Rejection::Disk, now_ms);
             } else {
                 self.committed(entry, now_ms);
             }
@@ -35,38 +40,46 @@
             self.index.insert(&turn.header, expires_at_ms);
             self.require_handoff(&turn.header, now_ms);
             for put in self.completions.stored(&turn.header.id) {
-                self.commit_or_park(put, now_ms);
+                self.commit_or_defer(put, now_ms);
             }
         }
+        // Only a caller's put can have a replica to hint at, and it has a single turn.
         let first_id = entry.turns.first().map(|turn| turn.header.id.as_str());
-        match entry.waiter {
-            Waiter::Caller { caller, hint } => {
-                if let (Some(replica), Some(id)) = (hint, first_id) {
+        match entry.requester {
+            CommitRequester::Caller {
+                caller,
+                substitute_for,
+            } => {
+                if let (Some(replica), Some(id)) = (substitute_for, first_id) {
                     self.add_hint(&replica, id, now_ms);
                 }
                 self.reply(caller, StoreReply::Stored);
             }
-            Waiter::Pull { serial } => self.anti_entropy.committed(serial),
-            Waiter::Completion { .. } => {}
+            CommitRequester::Pull { serial } => self.anti_entropy.committed(serial),
+            // The calls of `completions.stored` above have ended the search.
+            CommitRequester::AncestorSearch { .. } => {}
         }
     }
 
     fn add_hint(&mut self, replica: &str, id: &str, now_ms: u64) {
         if self.safeguards.has(Safeguard::HintedHandoff) {
-            // If the hint table is full, the replica still gets the turn by its own pulls.
+            // If the hint table is full, the replica has to pull the turn itself (anti-entropy).
             let _ = self.handoffs.add_hint(replica, id, now_ms);
         }
     }
 
-    fn commit_failed(&mut self, waiter: Waiter, rejection: Rejection, now_ms: u64) {
-        match waiter {
-            Waiter::Caller { caller, .. } => self.reply(caller, StoreReply::Rejected(rejection)),
-            Waiter::Pull { serial } => self.anti_entropy.failed(serial, now_ms),
-            Waiter::Completion { id } => self.completions.write_failed(&id),
+    fn commit_failed(&mut self, requester: CommitRequester, rejection: Rejection, now_ms: u64) {
+        match requester {
+            CommitRequester::Caller { caller, .. } => {
+                self.reply(caller, StoreReply::Rejected(rejection))
+            }
+            CommitRequester::Pull { serial } => self.anti_entropy.failed(serial, now_ms),
+            CommitRequester::AncestorSearch { id } => self.completions.write_failed(&id),
         }
     }
 
-    /// Removes expired turns from the index, the hints and the disk, once per [`EXPIRY_SWEEP_MS`].
+    /// Removes expired turns from the index and the hints, and submits jobs that delete them from disk. Does nothing if the
+    /// last sweep was less than [`EXPIRY_SWEEP_MS`] ago.
     pub(super) fn sweep_expired(&mut self, now_ms: u64) {
         if now_ms < self.next_sweep_at_ms {
             return;
--- a/crates/serving/turn-replication/src/node/completions.rs
+++ b/crates/serving/turn-replication/src/node/completions.rs
@@ -1,9 +1,9 @@
-//! Searches for missing ancestors of stored and parked turns.
+//! Searches for missing ancestors of stored turns and deferred puts.
 
 use super::membership::present_peers;
 use super::purposes::RequestPurpose;
 use super::state::StoreNode;
-use crate::commit_queue::Waiter;
+use crate::commit_queue::CommitRequester;
 use crate::membership::StoreEntry;
 use crate::message::{Rejection, StoreReply, StoreRequest};
 use crate::placement;
@@ -38,7 +38,7 @@
                 if turns.iter().any(|retained| retained.turn.id == id) =>
             {
                 self.completions.found(&id);
-                self.commit(turns, Waiter::Completion { id }, now_ms);
+                self.commit(turns, CommitRequester::AncestorSearch { id }, now_ms);
             }
             _ => self.completions.not_found(&id),
         }
@@ -59,8 +59,8 @@
             let purpose = RequestPurpose::Completion { id: search.id };
             self.send(search.store, purpose, request, now_ms);
         }
-        while let Some(parked) = self.completions.next_exhausted(now_ms) {
-            for put in parked {
+        while let Some(deferred) = self.completions.next_exhausted(now_ms) {
+            for put in deferred {
                 self.reply(put.caller, StoreReply::Rejected(Rejection::Incomplete));
             }
         }
--- a/crates/serving/turn-replication/src/node/pulls.rs
+++ b/crates/serving/turn-replication/src/node/pulls.rs
@@ -3,7 +3,7 @@
 use super::purposes::RequestPurpose;
 use super::state::StoreNode;
 use crate::anti_entropy::PullRequest;
-use crate::commit_queue::Waiter;
+use crate::commit_queue::CommitRequester;
 use crate::membership::StoreEntry;
 use crate::message::{StoreReply, StoreRequest};
 
@@ -53,7 +53,7 @@
             Some(StoreReply::Fetched { turns }) => {
                 let turns = self.anti_entropy.fetched(serial, turns);
                 if !turns.is_empty() {
-                    self.commit(turns, Waiter::Pull { serial }, now_ms);
+                    self.commit(turns, CommitRequester::Pull { serial }, now_ms);
                 }
             }
             _ => self.anti_entropy.failed(serial, now_ms),
--- a/crates/serving/turn-replication/src/node/requests.rs
+++ b/crates/serving/turn-replication/src/node/requests.rs
@@ -4,8 +4,8 @@
 use super::phases::BootstrapPhase;
 use super::purposes::JobPurpose;
 use super::state::StoreNode;
-use crate::chain_completion::ParkedPut;
-use crate::commit_queue::Waiter;
+use crate::chain_completion::DeferredPut;
+use crate::commit_queue::CommitRequester;
 use crate::ids::CallerId;
 use crate::index::READ_EXTENSION_MS;
 use crate::message::{Rejection, StoreReply, CHAIN_PAGE_BYTES, PAGE_BYTES};
@@ -16,7 +16,13 @@
 
 impl StoreNode {
     /// Stores a turn, or acknowledges it immediately if the turn and its chain are stored already.
-    pub(super) fn put(&mut self, caller: CallerId, turn: Turn, hint: Option<String>, now_ms: u64) {
+    pub(super) fn put(
+        &mut self,
+        caller: CallerId,
+        turn: Turn,
+        substitute_for: Option<String>,
+        now_ms: u64,
+    ) {
         let header = turn.header();
         let remaining_ms = header.retention_with_margin_ms();
         let is_stored = self.index.contains_same_turn(&header);
@@ -32,7 +38,12 @@
             return self.reply(caller, StoreReply::Rejected(rejection));
         }
         let turn = RetainedTurn { turn, remaining_ms };
-        self.commit_or_park(ParkedPut { caller, turn, hint }, now_ms);
+        let put = DeferredPut {
+            caller,
+            turn,
+            substitute_for,
+        };
+        self.commit_or_defer(put, now_ms);
     }
 
     /// The reason to reject a turn, if there is one.
@@ -53,23 +64,23 @@
         }
     }
 
-    /// Commits a put, or parks it until the missing part of its chain is stored.
-    pub(super) fn commit_or_park(&mut self, put: ParkedPut, now_ms: u64) {
+    /// Commits a put, or defers it until the missing part of its chain is stored.
+    pub(super) fn commit_or_defer(&mut self, put: DeferredPut, now_ms: u64) {
         let Some(missing) = self.first_missing(put.turn.turn.previous.as_deref()) else {
             return self.commit_put(put, now_ms);
         };
         let sources = self.likely_sources(&put.turn.turn.program);
-        if let Err(rejected) = self.completions.park(&missing, sources, put) {
+        if let Err(rejected) = self.completions.defer(&missing, sources, put) {
             self.reply(rejected.caller, StoreReply::Rejected(Rejection::Busy));
         }
     }
 
-    fn commit_put(&mut self, put: ParkedPut, now_ms: u64) {
-        let waiter = Waiter::Caller {
+    fn commit_put(&mut self, put: DeferredPut, now_ms: u64) {
+        let requester = CommitRequester::Caller {
             caller: put.caller,
-            hint: put.hint,
+            substitute_for: put.substitute_for,
         };
-        self.commit(vec![put.turn], waiter, now_ms);
+        self.commit(vec![put.turn], requester, now_ms);
     }
 
     /// Reads the newest segment of the chain that ends in `id`, and extends the retention of the chain.
@@ -209,6 +220,13 @@
         if let Some(rejection) = rejection {
             return self.reply(caller, StoreReply::Rejected(rejection));
         }
-        self.commit(turns, Waiter::Caller { caller, hint: None }, now_ms);
+        self.commit(
+            turns,
+            CommitRequester::Caller {
+                caller,
+                substitute_for: None,
+            },
+            now_ms,
+        );
     }
 }
--- a/crates/serving/turn-replication/tests/world/core.rs
+++ b/crates/serving/turn-replication/tests/world/core.rs
@@ -1,5 +1,5 @@
-//! The core: the agreed control state, which tracks stores by their heartbeats. Gateways and stores receive the
-//! resulting membership with a delay.
+//! Simulates the core, which replicates the control state, as a single instance: it tracks stores by their heartbeats,
+//! and gateways and stores receive the resulting membership with a delay.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -17,8 +17,9 @@
 /// Maximum delay of a report, in milliseconds; its sender may have ended or restarted before it arrives.
 const MAX_REPORT_DELAY_MS: u64 = 3_000;
 /// Maximum delay of a membership on its way to a store, in milliseconds.
-const MAX_STORE_LAG_MS: u64 = 200;
-/// Maximum delay of the first membership on its way to a store that has just started, in milliseconds.
+const MAX_MEMBERSHIP_DELAY_MS: u64 = 200;
+/// Maximum delay of the first membership on its way to a store that has just started or become reachable again, in
+/// milliseconds.
 const MAX_FIRST_MEMBERSHIP_DELAY_MS: u64 = 50;
 
 #[derive(Debug, Default)]
@@ -26,8 +27,8 @@
     state: ControlState,
     pub version: u64,
     last_heartbeat_at_ms: BTreeMap<String, u64>,
-    /// For each store: the incarnation that the membership was last sent to.
-    notified_incarnations: BTreeMap<String, u64>,
+    /// For each reachable store: the incarnation that was sent the membership when it started or became reachable.
+    informed_incarnations: BTreeMap<String, u64>,
 }
 
 impl Core {
@@ -49,7 +50,8 @@
 }
 
 impl World {
-    pub(super) fn exchange_heartbeats(&mut self) {
+    /// Receives the heartbeats of all reachable stores, expires leases, and sends the membership to stores that need it.
+    pub(super) fn process_heartbeats(&mut self) {
         self.schedule_after(HEARTBEAT_INTERVAL_MS, Event::Heartbeats);
         for machine_index in 0..self.machines.len() {
             if self.machines[machine_index].is_reachable() {
@@ -58,7 +60,7 @@
             }
         }
         self.expire_leases();
-        self.send_membership_to_new_stores();
+        self.send_membership_to_uninformed_stores();
     }
 
     /// Commits an operation, and sends the new membership to gateways and stores if the operation changed it.
@@ -71,25 +73,25 @@
         outcome
     }
 
-    /// Orders a store to be drained, as the operator does.
-    pub(super) fn order_retirement(&mut self, name: &str) -> RetirementOutcome {
+    /// Requests the retirement of a store, as the operator does: repeats a fenced request with the returned token.
+    pub(super) fn request_retirement(&mut self, name: &str) -> RetirementOutcome {
         let tolerated_losses = self.plan.tolerated_losses as u32;
-        let order = |fencing_token| Operation::RetireStart {
+        let request = |fencing_token| Operation::RetireStart {
             node: name.to_owned(),
             tolerated_losses,
             fencing_token,
         };
-        let outcome = match self.commit(&order(0)) {
-            Outcome::Fenced { fencing_token } => self.commit(&order(fencing_token)),
+        let outcome = match self.commit(&request(0)) {
+            Outcome::Fenced { fencing_token } => self.commit(&request(fencing_token)),
             outcome => outcome,
         };
         match outcome {
             Outcome::Retire(outcome) => outcome,
-            other => panic!("{other:?} is not a valid reply to an order to retire a store"),
+            other => panic!("{other:?} is not a valid reply to a request to retire a store"),
         }
     }
 
-    /// The report of a store that it is drained has arrived at the core.
+    /// Handles the arrival of a "drained" report at the core.
     pub(super) fn drained_received(&mut self, machine: usize, operation: &Operation) {
         self.commit(operation);
         let retirement = self.core.state.retirement(&self.machines[machine].name);
@@ -161,7 +163,7 @@
         self.core.version += 1;
         for machine_index in 0..self.machines.len() {
             if self.machines[machine_index].is_reachable() {
-                self.send_membership(machine_index, MAX_STORE_LAG_MS);
+                self.send_membership(machine_index, MAX_MEMBERSHIP_DELAY_MS);
             }
         }
         for gateway in 0..self.gateways.len() {
@@ -176,16 +178,16 @@
     }
 
     /// Sends the unchanged membership to stores that have just started or were unreachable.
-    fn send_membership_to_new_stores(&mut self) {
+    fn send_membership_to_uninformed_stores(&mut self) {
         for machine_index in 0..self.machines.len() {
             let machine = &self.machines[machine_index];
-            let notified = &mut self.core.notified_incarnations;
+            let informed = &mut self.core.informed_incarnations;
             if !machine.is_reachable() {
-                notified.remove(&machine.name);
+                informed.remove(&machine.name);
                 continue;
             }
             let incarnation = machine.incarnation;
-            if notified.insert(machine.name.clone(), incarnation) != Some(incarnation) {
+            if informed.insert(machine.name.clone(), incarnation) != Some(incarnation) {
                 self.send_membership(machine_index, MAX_FIRST_MEMBERSHIP_DELAY_MS);
             }
         }
@@ -215,7 +217,7 @@
         }
     }
 
-    /// Whether the store is in the membership, in use or draining.
+    /// Whether the membership lists the store, which is then in use or draining.
     pub(super) fn is_listed(&self, name: &str) -> bool {
         self.core.entry(name).is_some()
     }
--- a/crates/serving/turn-replication/tests/world/faults.rs
+++ b/crates/serving/turn-replication/tests/world/faults.rs
@@ -166,19 +166,19 @@
         back_after_ms
     }
 
-    /// Orders a store to be drained, as the operator does; the order may be repeated while the store drains.
+    /// Requests the retirement of a store, as the operator does; the request may be repeated while the store drains.
     fn retire(&mut self, machine: usize) {
         let name = self.machines[machine].name.clone();
         let is_known = self.is_listed(&name);
         let now_ms = self.now_ms;
-        let ordered_at_ms = self.machines[machine].retirement_ordered_at_ms;
-        match self.order_retirement(&name) {
+        let requested_at_ms = self.machines[machine].retirement_requested_at_ms;
+        match self.request_retirement(&name) {
             RetirementOutcome::Accepted => {
                 let machine = &mut self.machines[machine];
-                machine.retirement_ordered_at_ms.get_or_insert(now_ms);
+                machine.retirement_requested_at_ms.get_or_insert(now_ms);
             }
-            _ if ordered_at_ms.is_some() => {
-                self.fail("an accepted order to retire a store is rejected when it is repeated");
+            _ if requested_at_ms.is_some() => {
+                self.fail("an accepted request to retire a store is rejected when it is repeated");
             }
             RetirementOutcome::TooFew => self.statistics.rejected_retirements += 1,
             RetirementOutcome::UnknownNode if is_known => {
@@ -190,15 +190,15 @@
 
     /// Removes the machine and the disk of a store as soon as the core has agreed that the store is drained.
     pub(super) fn remove_drained(&mut self, machine: usize) {
-        let Some(ordered_at_ms) = self.machines[machine].retirement_ordered_at_ms else {
-            self.fail("a store is drained without an order to retire it");
+        let Some(requested_at_ms) = self.machines[machine].retirement_requested_at_ms else {
+            self.fail("a store is drained without a request to retire it");
         };
         if self.machines[machine].is_retired {
             return;
         }
         let statistics = &mut self.statistics;
         statistics.retired_stores += 1;
-        let took_ms = self.now_ms - ordered_at_ms;
+        let took_ms = self.now_ms - requested_at_ms;
         statistics.slowest_drain_ms = statistics.slowest_drain_ms.max(took_ms);
         self.machines[machine].is_retired = true;
         if self.machines[machine].node.is_some() {
@@ -270,7 +270,7 @@
             if machine.state == MachineState::Running && !is_complete {
                 self.fail(&format!("{} is not complete at the end", machine.name));
             }
-            let is_ordered = machine.retirement_ordered_at_ms.is_some();
+            let is_ordered = machine.retirement_requested_at_ms.is_some();
             let is_removed = machine.state == MachineState::Removed;
             if is_ordered && !machine.is_retired && !is_removed {
                 self.fail(&format!("{} is not drained at the end", machine.name));
--- a/crates/serving/turn-replication/tests/world/machine.rs
+++ b/crates/serving/turn-replication/tests/world/machine.rs
@@ -74,7 +74,7 @@
     /// Version of the newest membership that the process received.
     pub(super) membership_version: u64,
     pub(super) first_membership_at_ms: Option<u64>,
-    pub retirement_ordered_at_ms: Option<u64>,
+    pub retirement_requested_at_ms: Option<u64>,
     pub is_retired: bool,
 }
 
--- a/crates/serving/turn-replication/tests/world/mod.rs
+++ b/crates/serving/turn-replication/tests/world/mod.rs
@@ -130,7 +130,7 @@
     pub exposure_windows: Vec<ExposureWindow>,
     /// Longest time from the first membership that a store with a new disk received until the store was complete.
     pub slowest_completion_ms: u64,
-    /// Longest time from the order to retire a store until the store was drained.
+    /// Longest time from the request to retire a store until the store was drained.
     pub slowest_drain_ms: u64,
     pub largest_message_bytes: u64,
     /// Maximum number of turns that one store held.
@@ -377,7 +377,7 @@
                 machine,
                 incarnation,
             } => self.tick(machine, incarnation),
-            Event::Heartbeats => self.exchange_heartbeats(),
+            Event::Heartbeats => self.process_heartbeats(),
             Event::MembershipToMachine {
                 machine,
                 incarnation,
--- a/crates/serving/turn-replication/tests/world/processes.rs
+++ b/crates/serving/turn-replication/tests/world/processes.rs
@@ -31,7 +31,7 @@
             tick_at_ms: u64::MAX,
             membership_version: 0,
             first_membership_at_ms: None,
-            retirement_ordered_at_ms: None,
+            retirement_requested_at_ms: None,
             is_retired: false,
         });
         machine_index
