--- a/crates/serving/chain-replication/src/failure_detector.rs
+++ b/crates/serving/chain-replication/src/failure_detector.rs
@@ -1,5 +1,5 @@
-//! The failure detector: what a member knows of the others from their messages and pings, that is which members it
-//! receives from, which receive its own pings, and which are connected with each other.
+//! The failure detector: from the messages and pings of the other members, it records which members this member receives
+//! from, which members receive its pings, and which members report connections with each other.
 
 use crate::identity::MemberId;
 use crate::message::Ping;
@@ -15,13 +15,13 @@
     id: MemberId,
     /// When a message from it last arrived; moved forward after our own suspension.
     last_received_at: Millis,
-    /// When its connection was refused or reset; none once a message from it has arrived since.
+    /// When its connection was refused or reset; `None` once a message from it has arrived since.
     disconnected_at: Option<Millis>,
     /// When we sent the newest timestamp that it has echoed.
     echoed_sent_at: Option<Millis>,
     /// The peer's view when it echoed that timestamp.
     echoed_in_view: ViewNumber,
-    /// The time until which it is presumed to receive our pings, also without an echo.
+    /// The time until which it is presumed to receive our pings even without an echo.
     presumed_receiving_until: Millis,
     /// The newest timestamp received from it, to be echoed.
     timestamp: Option<u64>,
@@ -276,7 +276,8 @@
         self.peer(id)?.timestamp
     }
 
-    /// Records whether the member is eligible for readmission now, and tells whether it has been eligible for long enough.
+    /// Records whether the member is eligible for readmission now, and returns whether it has been eligible for long
+    /// enough.
     pub(crate) fn update_eligibility(
         &mut self,
         id: &MemberId,
--- a/crates/serving/chain-replication/src/limits.rs
+++ b/crates/serving/chain-replication/src/limits.rs
@@ -20,19 +20,22 @@
 /// Maximum bytes of uncommitted entries at the head; further submissions are rejected.
 pub const MAX_UNCOMMITTED_BYTES: usize = 2 << 20;
 
-/// Maximum number of commits that a member may lack to be readmitted to the chain, which waits while it catches up.
+/// Maximum number of commits that a member may lack to be readmitted to the chain. The chain waits while the member
+/// catches up.
 pub const MAX_COMMITS_BEHIND: u64 = 512;
 /// Maximum bytes of entries in one message, unless a single entry is larger.
 pub const MAX_APPEND_BYTES: usize = 256 << 10;
 
-/// A snapshot is taken once as many bytes of entries were committed as the last snapshot has, but at least this many.
+/// A snapshot is taken once the entries committed since the last snapshot have as many bytes as that snapshot, but at
+/// least this many.
 pub const MIN_COMPACTION_BYTES: usize = 1 << 20;
-/// A snapshot is taken once this many bytes of entries were committed, even if the last snapshot is larger.
+/// A snapshot is taken once the entries committed since the last snapshot have this many bytes, even if that snapshot is
+/// larger.
 pub const MAX_COMPACTION_BYTES: usize = 2 << 20;
 /// Bytes of entries that stay in memory after compaction, so that members that were down briefly need no snapshot.
 pub const RETAINED_LOG_BYTES: usize = 2 << 20;
-/// Bytes of entries that stay in memory while a snapshot is in transfer, whose receiver continues with the entries after
-/// it.
+/// Bytes of entries that stay in memory while a snapshot is in transfer, because its receiver continues with the entries
+/// after it.
 pub const RETAINED_LOG_BYTES_DURING_TRANSFER: usize = 16 << 20;
 /// Maximum bytes of a snapshot in one message. Pings wait behind such a message, 20 ms at 100 Mbit/s.
 pub const SNAPSHOT_CHUNK_BYTES: usize = 256 << 10;
--- a/crates/serving/chain-replication/src/member/acceptor.rs
+++ b/crates/serving/chain-replication/src/member/acceptor.rs
@@ -70,9 +70,9 @@
         self.send_vote_when_persisted(from, message);
     }
 
-    /// Whether this member may vote on `view` at the request of `from`: both are members, and `view` is the next one. For a
-    /// later view this member has missed a decision, so it requests the newest view; a proposer of an earlier view is sent
-    /// the present one.
+    /// Whether this member may vote on `view` at the request of `from`: both are members of the present view, and `view` is
+    /// the next one. If `view` is later than that, this member has missed a decision and requests the newest view. If
+    /// `view` is not later than the present view, the proposer is sent the present view.
     fn may_vote(&mut self, from: &MemberId, view: ViewNumber) -> bool {
         let Some(present) = self.view() else {
             return false;
--- a/crates/serving/chain-replication/src/member/compact.rs
+++ b/crates/serving/chain-replication/src/member/compact.rs
@@ -42,8 +42,9 @@
         }
     }
 
-    /// Removes from memory entries that the snapshot includes. The newest of them are retained for members that were down
-    /// briefly, and more of them while a transfer is under way, for its receiver to continue from.
+    /// Removes from memory entries that the snapshot includes. The newest of these entries are retained for members that
+    /// were down briefly. While a snapshot is in transfer, more are retained, because its receiver continues with the
+    /// entries after it.
     fn compact_log(&mut self) {
         let on_disk = self.snapshots.on_disk_index;
         let outgoing = self.snapshots.outgoing.iter();
--- a/crates/serving/chain-replication/src/member/io.rs
+++ b/crates/serving/chain-replication/src/member/io.rs
@@ -26,7 +26,7 @@
     Submit {
         /// Identifies the submission in [`Output::Apply`] or [`Output::Dropped`].
         ticket: Ticket,
-        /// What to append.
+        /// The payload to append.
         payload: Vec<u8>,
     },
     /// A linearizable read: emit [`Output::ReadReady`] once everything committed by now is applied here.
--- a/crates/serving/chain-replication/src/member/join.rs
+++ b/crates/serving/chain-replication/src/member/join.rs
@@ -21,7 +21,8 @@
             return;
         }
         self.install_view(DecidedView::bootstrap(view));
-        // Announced only once it is on disk: else this process could forget a first view that others have installed.
+        // The view is announced only once it is on disk. Otherwise this process could lose it in a crash after others have
+        // installed it.
         self.write_queue
             .when_persisted(Completion::AnnounceFirstView);
     }
--- a/crates/serving/chain-replication/src/member/learn.rs
+++ b/crates/serving/chain-replication/src/member/learn.rs
@@ -26,7 +26,7 @@
         self.send(&tail, Message::FetchCommitted(resume));
     }
 
-    /// Makes a learner fetch at once, as a known commit is awaited.
+    /// If this member is a learner, fetches at once instead of at the next interval.
     pub(super) fn fetch_committed_now(&mut self) {
         if self.is_learner() {
             self.fetch_committed();
@@ -87,7 +87,7 @@
         self.send_committed_entries(&from, previous);
     }
 
-    /// Whether this member is the synced tail and `learner` a member out of its chain.
+    /// Whether this member is the synced tail, and `learner` is a member of the view but out of the chain.
     fn serves_learner(&self, learner: &MemberId) -> bool {
         let is_learner = self
             .view()
--- a/crates/serving/chain-replication/src/member/mod.rs
+++ b/crates/serving/chain-replication/src/member/mod.rs
@@ -208,7 +208,7 @@
     }
 
     /// Handles one input and adds to `outputs` what the caller has to do, in this order. `now` should not go back; if it
-    /// does, the member discards the echoes that its quorum rests on.
+    /// does, the member discards the echoes on which its quorum is based.
     pub fn step(&mut self, input: Input, now: Millis, outputs: &mut Vec<Output>) {
         let previous_step = if self.started { self.now } else { now };
         self.now = now;
@@ -284,7 +284,7 @@
     }
 
     /// Whether commits are applied here as they are made: this member [can commit](Member::can_commit), and has applied
-    /// its log but for the last moments. A member that has restarted, was readmitted or is partitioned from the tail may
+    /// all commits except possibly the newest ones, see [`FRESHNESS_TIMEOUT`](crate::timing::FRESHNESS_TIMEOUT). A member that has restarted, was readmitted or is partitioned from the tail may
     /// have entries in its log without knowing that they are committed.
     #[must_use]
     pub fn is_up_to_date(&self, now: Millis) -> bool {
--- a/crates/serving/chain-replication/src/member/notify.rs
+++ b/crates/serving/chain-replication/src/member/notify.rs
@@ -5,8 +5,8 @@
 use crate::timing::REQUEST_TIMEOUT;
 
 impl Member {
-    /// Ends the submission of a committed entry. Gives its ticket, if it was submitted here and is committed for the first
-    /// time.
+    /// Ends the submission of a committed entry. Returns its ticket, if the entry was submitted here and is committed for
+    /// the first time.
     pub(super) fn complete_submission(&mut self, origin: Origin) -> Option<Ticket> {
         let is_own = origin.incarnation == self.incarnation;
         (is_own && self.submissions.remove(origin.ticket)).then_some(origin.ticket)
--- a/crates/serving/chain-replication/src/member/observe.rs
+++ b/crates/serving/chain-replication/src/member/observe.rs
@@ -1,4 +1,4 @@
-//! Plans the desired view from what this member observes of itself and the others.
+//! Plans the desired view from this member's observations of itself and of the others.
 
 use super::Member;
 use crate::identity::MemberId;
@@ -67,8 +67,8 @@
         }
     }
 
-    /// What `one` has reported about its connection with `other`; none if `one` isn't alive or hasn't reported in this
-    /// view.
+    /// Whether the member at index `one` has reported a connection with the member at index `other`; `None` if `one` is
+    /// not alive or has sent no ping in this view.
     fn reported_connection(&self, view: &View, one: usize, other: usize) -> Option<bool> {
         let id = &view.members[one].id;
         let ping = self.failure_detector.last_ping(id, view.number);
@@ -92,7 +92,8 @@
         }
     }
 
-    /// How many members report that they have lost the member at `index`.
+    /// Number of other members that report no connection with the member at `index`; this member counts if it suspects
+    /// that member.
     fn count_suspecting(&self, view: &View, index: usize) -> usize {
         let suspects = |other: &usize| {
             if view.members[*other].id == self.me.id {
@@ -129,8 +130,8 @@
         ping.is_some_and(|ping| ping.disk_stalled || ping.leaving)
     }
 
-    /// Whether [`CATCH_UP_TIMEOUT`] after the view was installed `id` is the first in the chain that hasn't caught up with
-    /// its predecessor.
+    /// Whether `id` holds up the chain: [`CATCH_UP_TIMEOUT`] has passed since the view was installed, and `id` is the first
+    /// member of the chain that has not caught up with its predecessor.
     fn is_lagging(&self, view: &View, id: &MemberId) -> bool {
         let has_caught_up = |id: &&MemberId| {
             if **id == self.me.id {
@@ -144,7 +145,8 @@
         is_late && view.chain.iter().find(|id| !has_caught_up(id)) == Some(id)
     }
 
-    /// Records which members out of the chain are eligible now, and marks those eligible for long enough as readmissible.
+    /// Records which members out of the chain are eligible now, and marks the members that have been eligible for long
+    /// enough as readmissible.
     fn update_eligibility(&mut self, view: &View, statuses: &mut [MemberStatus]) {
         let in_chain: Vec<usize> = view
             .chain
--- a/crates/serving/chain-replication/src/member/ping.rs
+++ b/crates/serving/chain-replication/src/member/ping.rs
@@ -64,7 +64,7 @@
         connected.fold(0, |bits, (index, _)| bits | 1 << index)
     }
 
-    /// The time at which this run sent a timestamp; none for a timestamp of another run.
+    /// The time at which this run sent a timestamp; `None` for a timestamp of another run.
     fn sent_at(&self, timestamp: u64) -> Option<Millis> {
         timestamp
             .checked_sub(self.timestamp_base)
--- a/crates/serving/chain-replication/src/member/propose.rs
+++ b/crates/serving/chain-replication/src/member/propose.rs
@@ -128,7 +128,8 @@
 
     fn has_too_much_uncommitted(&self) -> bool {
         let too_many = self.log.last().index - self.commit_index >= MAX_UNCOMMITTED;
-        // The size of the whole log is stored, while that of its uncommitted part has to be summed up.
+        // The size of the whole log is known, but that of its uncommitted part has to be summed up, so it is computed only if
+        // the whole log exceeds the limit.
         let too_large = || {
             self.log.size_bytes() > MAX_UNCOMMITTED_BYTES
                 && self.log.bytes_after(self.commit_index) > MAX_UNCOMMITTED_BYTES
--- a/crates/serving/chain-replication/src/member/proposer.rs
+++ b/crates/serving/chain-replication/src/member/proposer.rs
@@ -13,7 +13,7 @@
 use crate::view::ViewNumber;
 
 impl Member {
-    /// Ends all agreement state when a view is installed: it was about this view or an earlier one.
+    /// Discards the agreement state when a view is installed, because it concerned that view or an earlier one.
     pub(super) fn end_agreement(&mut self) {
         self.acceptor = Acceptor::default();
         self.proposer = Proposer::Idle;
@@ -72,8 +72,8 @@
         confirmed + 1 >= view.majority() && !self.is_disk_stalled()
     }
 
-    /// How many eligible members propose before this one. The order is that of the chain, then that of the members out of
-    /// the chain.
+    /// Number of eligible members that propose before this one. The members of the chain come first, from head to tail,
+    /// then the others.
     fn proposer_rank(&self) -> u64 {
         let Some(view) = self.view() else { return 0 };
         let members = view.members.iter().map(|member| &member.id);
@@ -86,7 +86,7 @@
         before.filter(may_propose).count() as u64
     }
 
-    /// Draws the time at which this member may propose, by its rank and a random wait from now.
+    /// Draws the time at which this member may propose: now, plus a delay by its rank, plus a random wait.
     pub(super) fn draw_proposal_time(&mut self) -> Millis {
         let delay = self.proposer_rank() * PROPOSER_RANK_DELAY;
         self.now + delay + self.random.below(PROPOSE_JITTER)
--- a/crates/serving/chain-replication/src/member/receive_snapshot.rs
+++ b/crates/serving/chain-replication/src/member/receive_snapshot.rs
@@ -32,8 +32,8 @@
             rejected: false,
         };
         if self.log_includes(descriptor.position) {
-            // Acknowledged as complete, so that the sender continues with entries after the snapshot. From its compacted
-            // log it may find no common position with this one.
+            // The snapshot is acknowledged as complete, so that the sender continues with the entries after it. Otherwise the
+            // sender, whose log is compacted, might find no common position with this log.
             return self.send(from, Message::SnapshotProgress { view, progress });
         }
         let mut complete = None;
--- a/crates/serving/chain-replication/src/member/replicate.rs
+++ b/crates/serving/chain-replication/src/member/replicate.rs
@@ -172,8 +172,8 @@
         self.resume_forwarding();
     }
 
-    /// The position from which another member can be sent entries: the end of its log if this log includes that, or else
-    /// its commit index.
+    /// The position after which another member can be sent entries: the end of its log if this log includes that position,
+    /// or else its commit index. `None` if this log includes neither up to `max_index`.
     pub(super) fn common_position(
         &self,
         resume: &ResumePoint,
--- a/crates/serving/chain-replication/src/member/stage.rs
+++ b/crates/serving/chain-replication/src/member/stage.rs
@@ -36,7 +36,7 @@
         self.stage == Stage::Synced
     }
 
-    /// Whether the log is complete as of the present view. This stays so when a promise seals the view.
+    /// Whether the log is complete as of the present view. This remains true after a promise has sealed the view.
     pub(super) fn has_caught_up(&self) -> bool {
         self.synced_view == self.view_number()
     }
--- a/crates/serving/chain-replication/src/member/state/freshness.rs
+++ b/crates/serving/chain-replication/src/member/state/freshness.rs
@@ -10,7 +10,7 @@
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Freshness {
-    /// Everything committed before this time is applied; none until that is known of any time.
+    /// Everything committed before this time is applied; `None` until this is known for some time.
     complete_as_of: Option<Millis>,
     checkpoint: Checkpoint,
 }
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Whether everything committed is applied, but for commits of the last [`FRESHNESS_TIMEOUT`].
+    /// Whether all commits are applied, except possibly those of the last [`FRESHNESS_TIMEOUT`].
     pub(crate) fn is_fresh(&self, commit_index: LogIndex, last: LogIndex, now: Millis) -> bool {
         commit_index >= last
             || self
--- a/crates/serving/chain-replication/src/member/state/replication.rs
+++ b/crates/serving/chain-replication/src/member/state/replication.rs
@@ -10,9 +10,9 @@
     OutOfChain,
     /// The member has promised the next view and no longer participates in the chain.
     Sealed,
-    /// The member's log doesn't include its predecessor's yet.
+    /// The member's log doesn't include all of its predecessor's log yet.
     CatchingUp,
-    /// The log includes the predecessor's, and the record of this is being written to disk.
+    /// The log includes the predecessor's log, and the record of this is being written to disk.
     Syncing,
     /// The record is on disk: the member forwards entries, and as the tail commits them.
     Synced,
@@ -26,7 +26,7 @@
 }
 
 impl Upstream {
-    /// Puts off the next request for entries, as a snapshot is being received.
+    /// Postpones the next request for entries, because a snapshot is being received.
     pub(crate) fn snapshot_received(&mut self, now: Millis) {
         self.resume_sent_at = Some(now);
     }
@@ -50,7 +50,7 @@
         self.active_at = now;
     }
 
-    /// Sets the stream to continue after a snapshot, received by the successor, that ends at `index`.
+    /// Makes the stream continue after the snapshot that the successor has received, which ends at `index`.
     pub(crate) fn resume_after_snapshot(&mut self, index: LogIndex, now: Millis) {
         self.sent_index = index;
         self.active_at = now;
--- a/crates/serving/chain-replication/src/member/state/requests.rs
+++ b/crates/serving/chain-replication/src/member/state/requests.rs
@@ -36,7 +36,7 @@
         self.bytes
     }
 
-    /// Adds a submission and gives its index among the pending ones.
+    /// Adds a submission and returns its index among the pending ones.
     pub(crate) fn push(&mut self, ticket: Ticket, payload: Payload, now: Millis) -> usize {
         self.bytes += payload.len();
         self.pending.push_back(Submission {
@@ -48,7 +48,7 @@
         self.pending.len() - 1
     }
 
-    /// Removes the submission of a ticket, and tells whether it was pending.
+    /// Removes the submission of a ticket, and returns whether it was pending.
     pub(crate) fn remove(&mut self, ticket: Ticket) -> bool {
         let index = self
             .pending
@@ -84,7 +84,7 @@
     pub(crate) requested_at: Millis,
 }
 
-/// PendingReads that one read request carries along the chain.
+/// Reads that one read request carries along the chain.
 #[derive(Clone, Debug)]
 pub(crate) struct ReadBatch {
     pub(crate) request: u64,
@@ -92,7 +92,7 @@
     pub(crate) sent_at: Millis,
 }
 
-/// PendingReads that wait for commits up to an index.
+/// Reads that wait for commits up to an index.
 #[derive(Clone, Debug)]
 pub(crate) struct ConfirmedReads {
     pub(crate) index: LogIndex,
@@ -109,7 +109,8 @@
 }
 
 impl PendingReads {
-    /// Requests are numbered after `last_request`, which differs between runs of the process.
+    /// Creates the state without reads. Read requests are numbered from `last_request + 1`; the caller draws
+    /// `last_request` at random, so that runs of the process use different numbers.
     pub(crate) fn new(last_request: u64) -> PendingReads {
         PendingReads {
             last_request,
@@ -129,7 +130,8 @@
         self.waiting.len() + in_flight + confirmed
     }
 
-    /// Puts all waiting reads into one request unless one is in flight, and tells whether there is a request to send.
+    /// Puts all waiting reads into one request, unless a request is in flight. Returns whether there is a new request to
+    /// send.
     pub(crate) fn begin_batch(&mut self, now: Millis) -> bool {
         if self.in_flight.is_some() || self.waiting.is_empty() {
             return false;
@@ -154,7 +156,7 @@
             .chain(confirmed)
     }
 
-    /// Removes and gives all reads that were requested at `oldest` or before.
+    /// Removes and returns all reads that were requested at `oldest` or before.
     pub(crate) fn remove_expired(&mut self, oldest: Millis) -> Vec<PendingRead> {
         let mut expired = Vec::new();
         for list in self.lists_mut() {
@@ -170,7 +172,7 @@
         expired
     }
 
-    /// Removes the reads that need no commits beyond this index.
+    /// Removes and returns the confirmed reads that need no commits beyond this index.
     pub(crate) fn remove_ready(&mut self, commit_index: LogIndex) -> Vec<PendingRead> {
         let ready = self
             .confirmed
--- a/crates/serving/chain-replication/src/member/state/snapshots.rs
+++ b/crates/serving/chain-replication/src/member/state/snapshots.rs
@@ -20,7 +20,7 @@
     pub(crate) on_disk_index: LogIndex,
     /// Bytes of the newest snapshot on disk.
     pub(crate) on_disk_bytes: usize,
-    /// About the bytes of all entries committed since that snapshot.
+    /// Approximate bytes of all entries committed since the newest snapshot on disk.
     pub(crate) committed_bytes: usize,
     /// A new snapshot is wanted to compact the log.
     pub(crate) wanted_for_compaction: bool,
@@ -30,7 +30,7 @@
     ended: Vec<EndedTransfer>,
     pub(crate) incoming: Option<IncomingSnapshot>,
     pub(crate) rejections: SnapshotRejections,
-    /// When the caller was last asked to take a snapshot; none once it has replied.
+    /// When the caller was last asked to take a snapshot; `None` once the caller has replied.
     pub(crate) requested_at: Option<Millis>,
 }
 
@@ -57,16 +57,16 @@
         self.outgoing.retain(|outgoing| outgoing.to != *member);
     }
 
-    /// Forgets which members need a snapshot, as other members may in a new view. Transfers under way are kept, and
-    /// continue when the receiver requests a snapshot again.
+    /// Discards which members need a snapshot, because these may be others in a new view. Transfers under way are kept,
+    /// and continue when the receiver requests a snapshot again.
     pub(crate) fn forget_requests(&mut self) {
         self.needed_by.clear();
         self.ended.clear();
     }
 
-    /// Whether the log is to be compacted. A snapshot is due once as many bytes of entries were committed as the last
-    /// snapshot has: then snapshots write no more bytes than entries do, unless the upper bound of the log is reached
-    /// first.
+    /// Whether the log is to be compacted. A snapshot is due once the entries committed since the last snapshot have as
+    /// many bytes as that snapshot. Snapshots then write no more bytes than entries do, unless the upper bound of the log
+    /// is reached first.
     pub(crate) fn is_compaction_due(&self) -> bool {
         let threshold = self
             .on_disk_bytes
--- a/crates/serving/chain-replication/src/message.rs
+++ b/crates/serving/chain-replication/src/message.rs
@@ -15,7 +15,7 @@
 /// One message. Messages of the chain carry the number of the view that they belong to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// The process that bootstraps the system gives the first view.
+    /// The first view, from the process that bootstraps the system.
     Bootstrap {
         /// The first view.
         view: View,
@@ -114,8 +114,8 @@
         index: LogIndex,
     },
 
-    /// To the successor, or from the tail to a learner: a chunk of a snapshot, as the sender's log begins after the
-    /// receiver's ends.
+    /// To the successor, or from the tail to a learner: a chunk of a snapshot, because the sender's log begins after the end
+    /// of the receiver's log.
     SnapshotChunk {
         /// The view that the message belongs to.
         view: ViewNumber,
--- a/crates/serving/chain-replication/src/next_view.rs
+++ b/crates/serving/chain-replication/src/next_view.rs
@@ -1,5 +1,5 @@
 //! Derives the next view from a plan and the promises of a majority: which members have every commit, and the order of
-//! the chain. It has no state.
+//! the chain. The derivation has no state.
 
 use crate::agreement::DecidedView;
 use crate::identity::MemberId;
@@ -19,14 +19,14 @@
 }
 
 impl SealedLog<'_> {
-    /// The order by which complete logs are compared: a log of greater extent includes every log of lesser extent.
+    /// The key by which complete logs are compared: a log with a greater extent includes every log with a lesser extent.
     fn extent(&self) -> (ViewNumber, Position) {
         (self.synced_view, self.last)
     }
 }
 
-/// The view after `decided` by the plan, headed by a member that has every commit; none while no such member is known
-/// among the planned members.
+/// The view after `decided` by the plan, headed by a member that has every commit. `None` if no planned member is known to
+/// have every commit.
 #[must_use]
 pub fn view_after(decided: &DecidedView, plan: Plan, sealed: &[SealedLog]) -> Option<DecidedView> {
     let base = base_after(decided, sealed)?;
@@ -40,12 +40,12 @@
     view.is_sound().then_some(DecidedView { view, base })
 }
 
-/// The base of the view after `decided`, from the promises of a majority; none if no member of the chain is among them.
+/// The base of the view after `decided`, from the promises of a majority; `None` if no member of the chain has promised.
 ///
-/// A commit in a view needs every member of its chain, synced in it. If a member of the chain has promised without having
-/// synced, nothing was or ever will be committed in the view, so its base also holds for the next view. To require a
-/// member synced in the view even then would make the head the only complete replica right after each change of view,
-/// and its loss would stop the core for good.
+/// A commit in a view requires that every member of its chain is synced in the view. If a member of the chain has promised
+/// without being synced, nothing was or ever will be committed in the view, so its base also holds for the next view. If a
+/// member synced in the view were required even then, the head would be the only complete replica right after each view
+/// change, and its loss would stop the core for good.
 fn base_after(decided: &DecidedView, sealed: &[SealedLog]) -> Option<ViewNumber> {
     let number = decided.number();
     let mut chain_logs = sealed
@@ -57,8 +57,9 @@
     Some(if all_synced { number } else { decided.base })
 }
 
-/// The planned chain, with members whose logs are complete first, by extent; equal ones keep their order in the previous
-/// chain.
+/// The planned chain, with the members whose logs are complete first, by decreasing extent; members of equal extent keep
+/// their order in the previous chain. If no planned member of the chain has a complete log, another member that has one
+/// becomes the head.
 fn chain_after<'a>(
     previous: &View,
     plan: &Plan,
--- a/crates/serving/chain-replication/src/reconfiguration.rs
+++ b/crates/serving/chain-replication/src/reconfiguration.rs
@@ -14,7 +14,7 @@
     pub ineligible: bool,
     /// It is out of the chain and has been eligible for long enough to be readmitted.
     pub readmissible: bool,
-    /// Number of other members, among them possibly the planning member, that have no connection with it.
+    /// Number of other members that report no connection with it; the planning member counts if it suspects it.
     pub suspected_by: usize,
     /// Neither the planning member nor any member that it receives pings from is connected with it.
     pub unreachable: bool,
--- a/crates/serving/chain-replication/src/timing.rs
+++ b/crates/serving/chain-replication/src/timing.rs
@@ -11,9 +11,9 @@
 pub const SUSPECT_TIMEOUT: Millis = 900;
 /// A member whose connection was refused or reset is suspected if no message arrives from it within this time.
 pub const SUSPECT_TIMEOUT_AFTER_DISCONNECT: Millis = 120;
-/// A member whose newest echo is of a timestamp older than this no longer receives our pings. A timestamp may be two ping
-/// intervals older than the ping that echoes it; the bound exceeds [`SUSPECT_TIMEOUT`] by more than that, so that a member
-/// that sends nothing is suspected for its silence first.
+/// A member counts as not receiving our pings once the newest timestamp that it echoed is older than this. An echoed
+/// timestamp may be two ping intervals older than the ping that echoes it. The timeout exceeds [`SUSPECT_TIMEOUT`] by more
+/// than that, so that a member that sends nothing is suspected for its silence first.
 pub const ECHO_TIMEOUT: Millis = SUSPECT_TIMEOUT + 2 * PING_INTERVAL + 100;
 /// A member has a quorum while a majority has replied to pings that it sent within this time.
 pub const QUORUM_TIMEOUT: Millis = 800;
@@ -64,7 +64,7 @@
 pub const ACKNOWLEDGEMENT_TIMEOUT: Millis = 300;
 /// An unsynced chain member repeats its request for entries to its predecessor after this time.
 pub const RESUME_RETRY: Millis = 150;
-/// Minimum time between two requests to resume from another position.
+/// Minimum time between two requests to the predecessor to send entries from another position.
 pub const RESUME_MIN_GAP: Millis = 30;
 /// Interval at which a learner fetches commits from the tail.
 pub const LEARN_INTERVAL: Millis = 150;
@@ -88,8 +88,8 @@
 pub const JOIN_RETRY: Millis = 300;
 /// A joiner that has sent no request for this long is forgotten.
 pub const JOINER_TIMEOUT: Millis = 1_000;
-/// A joiner has to send requests for this long before it becomes an additional member: the member that it is to replace
-/// may be about to be suspected.
+/// A joiner has to send requests for this long before it becomes an additional member: it may be meant to replace a failed
+/// member that is not suspected yet.
 pub const ADDITIONAL_JOINER_DELAY: Millis = SUSPECT_TIMEOUT + JOIN_RETRY;
 /// Minimum time between two requests for a later view.
 pub const VIEW_REQUEST_GAP: Millis = 50;
@@ -100,5 +100,5 @@
 pub const RESUBMIT_INTERVAL: Millis = 1_000;
 /// An unconfirmed read request is sent again after this time.
 pub const READ_RETRY: Millis = 250;
-/// PendingSubmissions and reads older than this are dropped.
+/// Pending submissions and reads that are older than this are dropped.
 pub const REQUEST_TIMEOUT: Millis = 5_000;
--- a/crates/serving/chain-replication/src/view.rs
+++ b/crates/serving/chain-replication/src/view.rs
@@ -48,7 +48,7 @@
         self.member(id).is_some()
     }
 
-    /// The member's index in the chain, from the head; none if it is out of the chain.
+    /// The member's index in the chain, from the head; `None` if it is out of the chain.
     #[must_use]
     pub fn chain_index(&self, id: &MemberId) -> Option<usize> {
         self.chain.iter().position(|other| other == id)
--- a/crates/serving/chain-replication/src/write_queue.rs
+++ b/crates/serving/chain-replication/src/write_queue.rs
@@ -79,7 +79,7 @@
         })
     }
 
-    /// Records that a batch is on disk, and gives its completions.
+    /// Records that a batch is on disk, and returns its completions.
     pub(crate) fn complete_batch(&mut self, number: u64) -> Vec<Completion> {
         match self.in_flight.take() {
             Some(batch) if batch.number == number => batch.completions,
--- a/crates/serving/chain-replication/tests/digests.rs
+++ b/crates/serving/chain-replication/tests/digests.rs
@@ -1,4 +1,4 @@
-//! The digests of many seeded worlds equal the recorded ones: see [`world::digest`].
+//! Simulated worlds with fixed seeds must have the digests that are recorded in `digests.txt`: see [`world::digest`].
 //!
 //! A change that alters the protocol's behaviour on purpose records the digests again, with `RECORD_FIXTURES=1`; its commit
 //! says which kinds of world changed and why.
--- a/crates/serving/chain-replication/tests/snapshots.rs
+++ b/crates/serving/chain-replication/tests/snapshots.rs
@@ -1,5 +1,5 @@
 //! Transfers of snapshots over links of limited bandwidth: a member that was wiped, restarted or down catches up in time
-//! under load, despite violation connections and corrupted bytes.
+//! under load, despite broken connections and corrupted bytes.
 
 mod world;
 
@@ -44,10 +44,10 @@
     world
         .run_until(STABLE_AT + 15_000)
         .unwrap_or_else(|violation| panic!("{violation}"));
-    // More than the log retains until a snapshot is taken and for members that were down briefly.
+    // This is more than the log retains, both until a snapshot is taken and for members that were down briefly.
     assert!(
         world.committed_count() * CHANGE_BYTES > 14 * MB,
-        "{} changes",
+        "only {} changes were committed: a joiner may need no snapshot",
         world.committed_count()
     );
     world
@@ -66,7 +66,7 @@
     }
 }
 
-/// Wipes a machine of a loaded world, and gives the time from its restart until it is complete.
+/// Wipes a machine of a loaded world, and returns the time from its restart until it is complete.
 fn recovery_time_after_wipe(setup: Setup) -> Millis {
     let mut world = loaded_world(setup);
     let machine = (setup.seed / 4) as usize % setup.machines;
@@ -110,7 +110,7 @@
         eprintln!("{state_bytes} bytes at {link} bytes a millisecond: complete after {worst} ms");
         assert!(
             worst <= CATCH_UP,
-            "{state_bytes} bytes at {link}: {worst} ms"
+            "{state_bytes} bytes at {link} bytes a millisecond: complete after {worst} ms, limit {CATCH_UP} ms"
         );
     }
 }
@@ -145,7 +145,10 @@
         outage_ms,
     );
     eprintln!("down for {outage_ms} ms: complete after {worst} ms, {snapshots} installs");
-    assert!(worst <= CATCH_UP, "{worst} ms");
+    assert!(
+        worst <= CATCH_UP,
+        "complete after {worst} ms, limit {CATCH_UP} ms"
+    );
 }
 
 #[test]
@@ -159,7 +162,10 @@
         outage_ms,
     );
     eprintln!("restarted: complete after {worst} ms, {snapshots} installs");
-    assert!(worst <= CATCH_UP, "{worst} ms");
+    assert!(
+        worst <= CATCH_UP,
+        "complete after {worst} ms, limit {CATCH_UP} ms"
+    );
 }
 
 #[test]
@@ -180,7 +186,10 @@
             .expect("the replacement starts");
         let took = time_until_complete(&mut world).unwrap_or_else(|text| panic!("{text}"));
         eprintln!("seed {seed}: a replacement complete after {took} ms");
-        assert!(took <= CATCH_UP, "seed {seed}: {took} ms");
+        assert!(
+            took <= CATCH_UP,
+            "seed {seed}: complete after {took} ms, limit {CATCH_UP} ms"
+        );
     }
 }
 
@@ -219,12 +228,15 @@
         let took = time_until_complete(&mut world).expect("the machine catches up");
         let bytes_sent = world.chunk_bytes_transferred - bytes_sent;
         eprintln!("seed {seed}: complete after {took} ms, {bytes_sent} bytes sent");
-        assert!(took <= CATCH_UP, "seed {seed}: {took} ms");
+        assert!(
+            took <= CATCH_UP,
+            "seed {seed}: complete after {took} ms, limit {CATCH_UP} ms"
+        );
         // A change of view during the transfer may bring another sender with another snapshot.
         let lost = BREAKS * 2 * SNAPSHOT_CHUNK_BYTES as u64;
         assert!(
             bytes_sent <= 2 * 10 * MB as u64 + lost,
-            "seed {seed}: {bytes_sent} bytes"
+            "seed {seed}: {bytes_sent} bytes were sent"
         );
     }
 }
--- a/crates/serving/chain-replication/tests/view_model.rs
+++ b/crates/serving/chain-replication/tests/view_model.rs
@@ -3,8 +3,8 @@
 //! lost for good, and arbitrary plans. The model uses the program's own `next_view::view_after` and `View`. Each safeguard
 //! is removed in turn, and the checker has to find a history that violates a property.
 //!
-//! The model doesn't run the real `Member`: that holds clocks and a random generator, so no two histories would reach the
-//! same state.
+//! The model doesn't run the real `Member`, which contains clocks and a random generator: no two histories would reach
+//! the same state.
 
 use dunespur_chain_replication::next_view::{view_after, SealedLog};
 use dunespur_chain_replication::reconfiguration::Plan;
--- a/crates/serving/control-state/src/departed.rs
+++ b/crates/serving/control-state/src/departed.rs
@@ -4,8 +4,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Maximum number of recorded departures. Beyond it, the earliest departure is evicted, which bounds memory against
-/// endless restarts of servers and callers that invent ids.
+/// Maximum number of recorded departures. Beyond it, the earliest departure is evicted. This bounds the memory that
+/// endless restarts of servers, or callers with arbitrary ids, can use up.
 const MAX_DEPARTED: usize = 4_096;
 
 /// How a server departed.
--- a/crates/serving/control-state/src/safeguards.rs
+++ b/crates/serving/control-state/src/safeguards.rs
@@ -7,8 +7,8 @@
 /// A measure against one kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Safeguard {
-    /// A configuration request is accepted only if it builds on the current generation. Without
-    /// this, two requests on the same generation could both be accepted.
+    /// A configuration request is accepted only if it builds on the current generation. Without this, two requests that
+    /// build on the same generation could both be accepted.
     FirstWriterWins,
     /// A snapshot contains the record of accepted requests. Without this, a restored member could reject a request
     /// that was accepted.
--- a/crates/serving/control-state/src/servers.rs
+++ b/crates/serving/control-state/src/servers.rs
@@ -10,8 +10,8 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, net::SocketAddr};
 
-/// Maximum number of registered servers. Further servers are not registered, which bounds memory against callers that
-/// invent ids.
+/// Maximum number of registered servers. Further servers are not registered. This bounds the memory that callers can use
+/// up with arbitrary ids.
 const MAX_SERVERS: usize = 8_192;
 
 /// The present servers and the recorded departures of absent ones.
--- a/crates/serving/control-state/tests/world/callers.rs
+++ b/crates/serving/control-state/tests/world/callers.rs
@@ -273,7 +273,7 @@
                 self.schedule(self.now, Event::Fault(fault.on_machine(machine)));
             }
         }
-        self.digest.answer(self.now, machine, call, &answer);
+        self.digest.hash_answer(self.now, machine, call, &answer);
         let CallId { caller, number } = call;
         let lost = self.rng.u32(0..100) < LOST_PERCENT;
         if lost
--- a/crates/serving/control-state/tests/world/links.rs
+++ b/crates/serving/control-state/tests/world/links.rs
@@ -110,7 +110,7 @@
         let delay = self.rng.u64(1..4);
         let now = self.now;
         self.digest
-            .event(20, [now, from as u64, to as u64], &message);
+            .hash_event(20, [now, from as u64, to as u64], &message);
         if self.duplicating && self.rng.u32(0..50) == 0 {
             let at = now + self.rng.u64(10..2_000);
             let input = Input::Received {
--- a/crates/serving/control-state/tests/world/machines.rs
+++ b/crates/serving/control-state/tests/world/machines.rs
@@ -359,7 +359,8 @@
             .expect("the snapshot is restorable")
             .with_safeguards(safeguards);
         self.snapshots_installed += 1;
-        self.digest.event(22, [self.now, index as u64, at], &bytes);
+        self.digest
+            .hash_event(22, [self.now, index as u64, at], &bytes);
         let process = self.process(index);
         process.applied = at;
         process.state = state;
@@ -385,7 +386,7 @@
         let starting_retirement =
             starting_retirement.filter(|node| first && process.state.retirement(node).is_some());
         let call = ticket.and_then(|ticket| process.tickets.remove(&ticket));
-        self.digest.event(
+        self.digest.hash_event(
             21,
             [self.now, index as u64, at],
             &(payload, &outcome, &changes),
--- a/crates/serving/turn-replication/src/commit_queue.rs
+++ b/crates/serving/turn-replication/src/commit_queue.rs
@@ -10,7 +10,7 @@
 /// Maximum bytes of queued turns, not counting the commit in flight. A single entry may exceed it if nothing else is
 /// queued.
 const MAX_QUEUED_BYTES: u64 = 16 << 20;
-/// Maximum bytes of turns in one commit, unless a single entry is larger.
+/// Maximum bytes of turns in one commit. A single entry may exceed it.
 const MAX_BATCH_BYTES: u64 = 4 << 20;
 
 /// What a commit was requested for, and what is informed of its end.
--- a/crates/serving/turn-replication/src/handoff/drain.rs
+++ b/crates/serving/turn-replication/src/handoff/drain.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-/// Delay between the order to drain and the first offer of turns, in milliseconds: by then the new replicas have
+/// Delay between the request to drain and the first offer of turns, in milliseconds: by then the new replicas have
 /// pulled most of the turns.
 pub const DRAIN_DELAY_MS: u64 = 300;
 
--- a/crates/serving/turn-replication/src/node/commits.rs
+++ b/crates/serving/turn-replication/src/node/commits.rs
@@ -43,7 +43,7 @@
                 self.commit_or_defer(put, now_ms);
             }
         }
-        // Only a caller's put can have a replica to hint at, and it has a single turn.
+        // Only a put can be on behalf of a replica, and a put has a single turn.
         let first_id = entry.turns.first().map(|turn| turn.header.id.as_str());
         match entry.requester {
             CommitRequester::Caller {
--- a/crates/serving/turn-replication/src/node/completions.rs
+++ b/crates/serving/turn-replication/src/node/completions.rs
@@ -27,7 +27,7 @@
         ranked.map(|store| store.name.clone()).collect()
     }
 
-    pub(super) fn completion_replied(
+    pub(super) fn ancestor_search_replied(
         &mut self,
         id: String,
         reply: Option<StoreReply>,
@@ -56,7 +56,7 @@
                 ids: vec![search.id.clone()],
                 with_ancestors: true,
             };
-            let purpose = RequestPurpose::Completion { id: search.id };
+            let purpose = RequestPurpose::AncestorSearch { id: search.id };
             self.send(search.store, purpose, request, now_ms);
         }
         while let Some(deferred) = self.completions.next_exhausted(now_ms) {
--- a/crates/serving/turn-replication/src/node/events.rs
+++ b/crates/serving/turn-replication/src/node/events.rs
@@ -80,7 +80,9 @@
             RequestPurpose::Pull { serial } => {
                 self.pull_replied(serial, &pending.store, reply, now_ms);
             }
-            RequestPurpose::Completion { id } => self.completion_replied(id, reply, now_ms),
+            RequestPurpose::AncestorSearch { id } => {
+                self.ancestor_search_replied(id, reply, now_ms)
+            }
             RequestPurpose::Handoff { serial } => self.handoff_replied(serial, reply, now_ms),
         }
         self.advance(now_ms);
--- a/crates/serving/turn-replication/src/node/purposes.rs
+++ b/crates/serving/turn-replication/src/node/purposes.rs
@@ -8,7 +8,7 @@
     /// The anti-entropy pull with this serial number.
     Pull { serial: u64 },
     /// The search for this missing ancestor.
-    Completion { id: String },
+    AncestorSearch { id: String },
     /// The handoff with this serial number.
     Handoff { serial: u64 },
 }
--- a/crates/serving/turn-replication/tests/world/core.rs
+++ b/crates/serving/turn-replication/tests/world/core.rs
@@ -167,13 +167,13 @@
             }
         }
         for gateway in 0..self.gateways.len() {
-            let lag_ms = self.rng.u64(0..self.gateways[gateway].max_lag_ms);
+            let delay_ms = self.rng.u64(0..self.gateways[gateway].max_delay_ms);
             let update = Event::MembershipToGateway {
                 gateway,
                 version: self.core.version,
                 stores: self.core.stores(),
             };
-            self.schedule_after(lag_ms, update);
+            self.schedule_after(delay_ms, update);
         }
     }
 
@@ -193,15 +193,15 @@
         }
     }
 
-    fn send_membership(&mut self, machine_index: usize, max_lag_ms: u64) {
-        let lag_ms = self.rng.u64(0..max_lag_ms);
+    fn send_membership(&mut self, machine_index: usize, max_delay_ms: u64) {
+        let delay_ms = self.rng.u64(0..max_delay_ms);
         let update = Event::MembershipToMachine {
             machine: machine_index,
             incarnation: self.machines[machine_index].incarnation,
             version: self.core.version,
             stores: self.core.stores(),
         };
-        self.schedule_after(lag_ms, update);
+        self.schedule_after(delay_ms, update);
     }
 
     pub(super) fn membership_to_gateway(
--- a/crates/serving/turn-replication/tests/world/digest.rs
+++ b/crates/serving/turn-replication/tests/world/digest.rs
@@ -32,37 +32,37 @@
         self.hash.digest()
     }
 
-    fn number(&mut self, number: u64) {
+    fn hash_number(&mut self, number: u64) {
         self.hash.update(&number.to_le_bytes());
     }
 
-    fn numbers(&mut self, numbers: &[u64]) {
-        numbers.iter().for_each(|number| self.number(*number));
+    fn hash_numbers(&mut self, numbers: &[u64]) {
+        numbers.iter().for_each(|number| self.hash_number(*number));
     }
 
-    fn encoded(&mut self, value: &impl Serialize) {
+    fn hash_encoded(&mut self, value: &impl Serialize) {
         let bytes = postcard::to_stdvec(value).expect("messages can be encoded");
-        self.number(bytes.len() as u64);
+        self.hash_number(bytes.len() as u64);
         self.hash.update(&bytes);
     }
 
     /// Adds an event that is about to be handled.
-    pub fn event(&mut self, now_ms: u64, event: &Event) {
-        self.number(now_ms);
+    pub fn hash_event(&mut self, now_ms: u64, event: &Event) {
+        self.hash_number(now_ms);
         match event {
             Event::Request {
                 to,
                 request,
                 requester,
             } => {
-                self.numbers(&[0, *to as u64]);
-                self.encoded(request);
-                self.requester(requester);
+                self.hash_numbers(&[0, *to as u64]);
+                self.hash_encoded(request);
+                self.hash_requester(requester);
             }
             Event::Reply { requester, reply } => {
-                self.number(1);
-                self.requester(requester);
-                self.encoded(reply);
+                self.hash_number(1);
+                self.hash_requester(requester);
+                self.hash_encoded(reply);
             }
             Event::MembershipToMachine {
                 machine,
@@ -70,48 +70,48 @@
                 version,
                 stores,
             } => {
-                self.numbers(&[5, *machine as u64, *incarnation, *version]);
-                self.encoded(stores);
+                self.hash_numbers(&[5, *machine as u64, *incarnation, *version]);
+                self.hash_encoded(stores);
             }
             Event::MembershipToGateway {
                 gateway,
                 version,
                 stores,
             } => {
-                self.numbers(&[6, *gateway as u64, *version]);
-                self.encoded(stores);
+                self.hash_numbers(&[6, *gateway as u64, *version]);
+                self.hash_encoded(stores);
             }
             Event::DrainedReceived { machine, operation } => {
-                self.numbers(&[17, *machine as u64]);
-                self.encoded(operation);
+                self.hash_numbers(&[17, *machine as u64]);
+                self.hash_encoded(operation);
             }
-            other => self.event_without_message(other),
+            other => self.hash_event_without_message(other),
         }
     }
 
-    fn event_without_message(&mut self, event: &Event) {
+    fn hash_event_without_message(&mut self, event: &Event) {
         match event {
             Event::DiskDone {
                 machine,
                 incarnation,
                 job: JobId(job),
-            } => self.numbers(&[2, *machine as u64, *incarnation, *job]),
+            } => self.hash_numbers(&[2, *machine as u64, *incarnation, *job]),
             Event::Tick {
                 machine,
                 incarnation,
-            } => self.numbers(&[3, *machine as u64, *incarnation]),
-            Event::Heartbeats => self.number(4),
-            Event::OperationDue { operation } => self.numbers(&[7, *operation]),
-            Event::ProgramStep { program } => self.numbers(&[8, *program as u64]),
-            Event::ProbeRead => self.number(9),
-            Event::NextFault { slot } => self.numbers(&[10, *slot as u64]),
-            Event::Start { machine } => self.numbers(&[11, *machine as u64]),
-            Event::Resume { machine } => self.numbers(&[12, *machine as u64]),
-            Event::Join { machine } => self.numbers(&[13, *machine as u64]),
-            Event::CatchUpEnd { slot } => self.numbers(&[14, *slot as u64]),
-            Event::FinalFault => self.number(15),
-            Event::CheckReplicas => self.number(16),
-            Event::CountSpares => self.number(18),
+            } => self.hash_numbers(&[3, *machine as u64, *incarnation]),
+            Event::Heartbeats => self.hash_number(4),
+            Event::OperationDue { operation } => self.hash_numbers(&[7, *operation]),
+            Event::ProgramStep { program } => self.hash_numbers(&[8, *program as u64]),
+            Event::ProbeRead => self.hash_number(9),
+            Event::NextFault { slot } => self.hash_numbers(&[10, *slot as u64]),
+            Event::Start { machine } => self.hash_numbers(&[11, *machine as u64]),
+            Event::Resume { machine } => self.hash_numbers(&[12, *machine as u64]),
+            Event::Join { machine } => self.hash_numbers(&[13, *machine as u64]),
+            Event::CatchUpEnd { slot } => self.hash_numbers(&[14, *slot as u64]),
+            Event::FinalFault => self.hash_number(15),
+            Event::CheckReplicas => self.hash_number(16),
+            Event::CountSpares => self.hash_number(18),
             Event::Request { .. }
             | Event::Reply { .. }
             | Event::MembershipToMachine { .. }
@@ -122,76 +122,76 @@
         }
     }
 
-    fn requester(&mut self, requester: &Requester) {
+    fn hash_requester(&mut self, requester: &Requester) {
         match requester {
             Requester::Machine {
                 machine,
                 incarnation,
                 request: PeerRequestId(request),
-            } => self.numbers(&[0, *machine as u64, *incarnation, *request]),
+            } => self.hash_numbers(&[0, *machine as u64, *incarnation, *request]),
             Requester::Gateway {
                 operation,
                 store,
                 id,
             } => {
-                self.numbers(&[1, *operation]);
-                self.encoded(store);
-                self.encoded(id);
+                self.hash_numbers(&[1, *operation]);
+                self.hash_encoded(store);
+                self.hash_encoded(id);
             }
         }
     }
 
     /// Adds a disk job that a store begins.
-    pub fn disk_work(&mut self, work: &DiskWork) {
+    pub fn hash_disk_work(&mut self, work: &DiskWork) {
         match work {
             DiskWork::Put(turns) => {
-                self.number(0);
-                self.encoded(turns);
+                self.hash_number(0);
+                self.hash_encoded(turns);
             }
             DiskWork::Get(ids) => {
-                self.number(1);
-                self.encoded(ids);
+                self.hash_number(1);
+                self.hash_encoded(ids);
             }
             DiskWork::Remove(ids) => {
-                self.number(2);
-                self.encoded(ids);
+                self.hash_number(2);
+                self.hash_encoded(ids);
             }
-            DiskWork::MarkComplete => self.number(3),
+            DiskWork::MarkComplete => self.hash_number(3),
         }
     }
 
     /// Adds a declaration of a store to the core.
-    pub fn declaration(&mut self, declaration: Declaration) {
+    pub fn hash_declaration(&mut self, declaration: Declaration) {
         match declaration {
-            Declaration::Complete => self.number(0),
-            Declaration::Drained { epoch } => self.numbers(&[1, epoch]),
+            Declaration::Complete => self.hash_number(0),
+            Declaration::Drained { epoch } => self.hash_numbers(&[1, epoch]),
         }
     }
 
     /// Adds the outcome of a read.
-    pub fn read(&mut self, outcome: &ReadOutcome) {
+    pub fn hash_read(&mut self, outcome: &ReadOutcome) {
         match outcome {
             ReadOutcome::Chain(turns) => {
-                self.number(0);
-                self.encoded(turns);
+                self.hash_number(0);
+                self.hash_encoded(turns);
             }
-            ReadOutcome::Unknown => self.number(1),
-            ReadOutcome::Uncertain => self.number(2),
-            ReadOutcome::TooLong => self.number(3),
+            ReadOutcome::Unknown => self.hash_number(1),
+            ReadOutcome::Uncertain => self.hash_number(2),
+            ReadOutcome::TooLong => self.hash_number(3),
         }
     }
 
     /// Adds the outcome of a write.
-    pub fn written(&mut self, outcome: WriteOutcome) {
-        self.number(match outcome {
+    pub fn hash_write(&mut self, outcome: WriteOutcome) {
+        self.hash_number(match outcome {
             WriteOutcome::Stored => 0,
             WriteOutcome::Uncertain => 1,
         });
     }
 
     /// Adds the statistics at the end.
-    pub fn statistics(&mut self, counts: &Statistics) {
-        self.numbers(&[
+    pub fn hash_statistics(&mut self, counts: &Statistics) {
+        self.hash_numbers(&[
             counts.stored_turns,
             counts.uncertain_writes,
             counts.avoidable_uncertain_writes,
@@ -207,7 +207,7 @@
             counts.max_stored_turns as u64,
         ]);
         for window in &counts.exposure_windows {
-            self.numbers(&[fault_number(window.fault), window.duration_ms]);
+            self.hash_numbers(&[fault_number(window.fault), window.duration_ms]);
         }
     }
 }
--- a/crates/serving/turn-replication/tests/world/faults.rs
+++ b/crates/serving/turn-replication/tests/world/faults.rs
@@ -9,7 +9,7 @@
 /// Maximum time that a machine is frozen or partitioned, in milliseconds.
 pub const MAX_IMPAIRMENT_MS: u64 = 5_000;
 
-/// A kind of fault, or an order of the operator.
+/// A kind of fault, or a change that the operator makes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
     /// The process ends and is restarted; the disk keeps its contents.
@@ -270,9 +270,9 @@
             if machine.state == MachineState::Running && !is_complete {
                 self.fail(&format!("{} is not complete at the end", machine.name));
             }
-            let is_ordered = machine.retirement_requested_at_ms.is_some();
+            let is_requested = machine.retirement_requested_at_ms.is_some();
             let is_removed = machine.state == MachineState::Removed;
-            if is_ordered && !machine.is_retired && !is_removed {
+            if is_requested && !machine.is_retired && !is_removed {
                 self.fail(&format!("{} is not drained at the end", machine.name));
             }
         }
--- a/crates/serving/turn-replication/tests/world/machine.rs
+++ b/crates/serving/turn-replication/tests/world/machine.rs
@@ -293,7 +293,7 @@
     }
 
     fn begin_disk_work(&mut self, machine_index: usize, job: JobId, work: DiskWork) {
-        self.digest.disk_work(&work);
+        self.digest.hash_disk_work(&work);
         let takes_ms = 1 + self.rng.u64(0..4) + work_bytes(&work) / BYTES_PER_MS;
         let machine = &mut self.machines[machine_index];
         machine.disk_busy_until_ms = machine.disk_busy_until_ms.max(self.now_ms) + takes_ms;
@@ -308,7 +308,7 @@
     }
 
     fn declared(&mut self, machine_index: usize, declaration: Declaration) {
-        self.digest.declaration(declaration);
+        self.digest.hash_declaration(declaration);
         match declaration {
             Declaration::Complete => {
                 let machine = &self.machines[machine_index];
--- a/crates/serving/turn-replication/tests/world/mod.rs
+++ b/crates/serving/turn-replication/tests/world/mod.rs
@@ -124,7 +124,7 @@
     pub unknown_reads: u64,
     pub faults: u64,
     pub retired_stores: u64,
-    /// Orders to drain a store that were rejected because too few would be left.
+    /// Requests to retire a store that were rejected because too few stores would be left.
     pub rejected_retirements: u64,
     /// For each loss: how long there was no spare replica.
     pub exposure_windows: Vec<ExposureWindow>,
@@ -139,7 +139,7 @@
     pub digest: u64,
 }
 
-/// The party that waits for the reply of a store.
+/// The sender of a request, to which the store's reply is sent.
 #[derive(Clone, Debug)]
 enum Requester {
     Machine {
@@ -211,7 +211,7 @@
     },
     FinalFault,
     CheckReplicas,
-    /// The report of a store that it is drained arrives at the core.
+    /// A store's "drained" report arrives at the core.
     DrainedReceived {
         machine: usize,
         operation: CoreOperation,
@@ -225,7 +225,7 @@
     version: u64,
     wall_offset_ms: i64,
     /// Maximum delay until the gateway receives a new membership.
-    max_lag_ms: u64,
+    max_delay_ms: u64,
 }
 
 /// A simulation: stores, core, gateways and programs, with the events that are scheduled for them.
@@ -281,13 +281,13 @@
             self.now_ms = at_ms;
             let event = self.events.remove(&number);
             let event = event.expect("each queued number has an event");
-            self.digest.event(at_ms, &event);
+            self.digest.hash_event(at_ms, &event);
             self.handle(event);
         }
     }
 
     fn finish(mut self) -> Statistics {
-        self.digest.statistics(&self.statistics);
+        self.digest.hash_statistics(&self.statistics);
         self.statistics.digest = self.digest.finish();
         self.statistics
     }
@@ -328,12 +328,12 @@
         for gateway in 0..3 {
             let wall_offset_ms = self.rng.i64(-2_000..2_000);
             // The last gateway lags far behind the core.
-            let max_lag_ms = if gateway == 2 { 3_000 } else { 200 };
+            let max_delay_ms = if gateway == 2 { 3_000 } else { 200 };
             self.gateways.push(Gateway {
                 stores: Vec::new(),
                 version: 0,
                 wall_offset_ms,
-                max_lag_ms,
+                max_delay_ms,
             });
         }
         self.schedule_at(50, Event::Heartbeats);
--- a/crates/serving/turn-replication/tests/world/programs.rs
+++ b/crates/serving/turn-replication/tests/world/programs.rs
@@ -299,7 +299,7 @@
     }
 
     fn read_ended(&mut self, outcome: &ReadOutcome, read: &Read) {
-        self.digest.read(outcome);
+        self.digest.hash_read(outcome);
         self.check_read(outcome, read);
         let ReadPurpose::NextTurn { program } = read.purpose else {
             return;
@@ -348,7 +348,7 @@
     }
 
     fn write_ended(&mut self, outcome: WriteOutcome, write: &Write) {
-        self.digest.written(outcome);
+        self.digest.hash_write(outcome);
         match outcome {
             WriteOutcome::Stored => {
                 self.statistics.stored_turns += 1;
