--- a/crates/serving/control-state/src/configuration.rs
+++ b/crates/serving/control-state/src/configuration.rs
@@ -110,11 +110,7 @@
             (ConfigurationRequestKind::Patch, None) => Document::empty().patch(&request.body)?,
         };
         if document.generation() <= self.generation() {
-            let problem = format!(
-                "{} is not above the current generation, {}",
-                document.generation(),
-                self.generation()
-            );
+            let problem = format!("is not above the current one, {}", self.generation());
             return Err(Findings::one("generation", problem));
         }
         Ok(document)
