--- a/crates/gateway/gateway/src/event_loop.rs
+++ b/crates/gateway/gateway/src/event_loop.rs
@@ -16,8 +16,9 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::sync::Notify;
 
-/// Unix time, read once at the start and advanced by the monotonic clock. Rate windows must agree between gateways
-/// and start times between endpoints, and steps of the system clock must not disturb them.
+/// Unix time, so that rate windows are the same on all gateways and the time can be compared with the start times of
+/// endpoints, which discovery reports. Read once at the start and advanced by the monotonic clock, so that steps of
+/// the system clock have no effect.
 pub struct UnixClock {
     started: Instant,
     unix: f64,
@@ -39,6 +40,10 @@
     }
 }
 
+/// Longest wait of the timer, in seconds. Without a deadline the wait is infinite, and `Duration::from_secs_f64`
+/// panics on infinity.
+const MAX_TIMER_WAIT_S: f64 = 3600.0;
+
 /// The event loop and the modules that perform its effects.
 pub struct EventLoop {
     pub clock: UnixClock,
@@ -56,8 +61,8 @@
     busy: Cell<bool>,
     /// The time at which the timer fires next.
     timer_due: Cell<f64>,
-    /// Signals that a timer is due before `timer_due`.
-    due_earlier: Notify,
+    /// Wakes `run_timer` when the state machine has a deadline before `timer_due`.
+    earlier_deadline: Notify,
 }
 
 /// Clears `busy` even if an event panics, so that later events are still handled.
@@ -92,7 +97,7 @@
             events: RefCell::default(),
             busy: Cell::new(false),
             timer_due: Cell::new(f64::INFINITY),
-            due_earlier: Notify::new(),
+            earlier_deadline: Notify::new(),
         })
     }
 
@@ -114,7 +119,8 @@
             if let (Event::CounterReplied { call, .. }, Some(counter_router)) =
                 (&event, &*self.counter_router.borrow())
             {
-                // The observer has already reported the end of this call to the process's own broker.
+                // A call of this process's own broker: the observer has already reported the reply to the fleet task,
+                // and the state machine doesn't know the call.
                 if *call >= FIRST_BROKER_CALL {
                     continue;
                 }
@@ -131,7 +137,7 @@
             .next_due()
             .is_some_and(|due| due < self.timer_due.get())
         {
-            self.due_earlier.notify_one();
+            self.earlier_deadline.notify_one();
         }
     }
 
@@ -219,10 +225,10 @@
                 .next_due()
                 .unwrap_or(f64::INFINITY);
             self.timer_due.set(next_due);
-            let wait = (next_due - self.clock.now()).clamp(0.0, 3600.0);
+            let wait = (next_due - self.clock.now()).clamp(0.0, MAX_TIMER_WAIT_S);
             tokio::select! {
                 biased;
-                _ = self.due_earlier.notified() => {}
+                _ = self.earlier_deadline.notified() => {}
                 _ = tokio::time::sleep(Duration::from_secs_f64(wait)) => self.handle(Event::TimerExpired),
             }
         }
--- a/crates/gateway/gateway/src/operators_file/tests.rs
+++ b/crates/gateway/gateway/src/operators_file/tests.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn invalid_values_are_reported_with_their_remedy() {
+fn invalid_files_are_rejected_with_the_reason() {
     let with = |from: &str, to: &str| VALID_FILE.replace(from, to);
     let cases = [
         (
--- a/crates/gateway/singleton-roles/src/message.rs
+++ b/crates/gateway/singleton-roles/src/message.rs
@@ -1,5 +1,5 @@
-//! Messages between limiters about singleton roles, and the outputs of the state machines. The encoding is
-//! positional, so the order of fields and variants must not change.
+//! Messages between limiters about singleton roles, and the outputs of the state machines. Messages are
+//! encoded by position, so the order of their fields and variants must not change.
 
 use crate::raft_types::RaftMessage;
 use crate::records::WriteBatch;
@@ -7,7 +7,7 @@
 use crate::{Name, Slot};
 use serde::{Deserialize, Serialize};
 
-/// The identity of a limiter, as its client sends it.
+/// The identity of a limiter, as its [`crate::client::RoleClient`] sends it to the voters.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Identity {
     /// The limiter's name; it stays the same across restarts.
@@ -20,7 +20,7 @@
     pub machine: String,
 }
 
-/// A slot that a client stopped working on.
+/// A slot that a limiter stopped working on.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Release {
     /// The released slot.
@@ -120,7 +120,7 @@
         disk: u64,
         /// The original members of the group.
         group: Group,
-        /// The responding voter's verdict on the disk of the hello.
+        /// The responding voter's verdict on the disk that the hello describes.
         verdict: DiskVerdict,
         /// The leader that the responding voter knows.
         leader: KnownLeader,
@@ -152,39 +152,39 @@
     Hello(VoterHello),
     /// A voter's response to the hello of another voter.
     HelloResponse {
-        /// The disk of the hello.
+        /// Identity of the disk that the hello describes.
         disk: u64,
         /// The nonce of the hello, so that responses to an earlier start are ignored.
         nonce: u64,
         /// The responding voter's state.
         response: HelloResponse,
     },
-    /// A client's request to renew its lease.
+    /// A limiter's request to renew its lease.
     Renew(RenewRequest),
     /// The leader renewed the lease.
     Renewed {
-        /// Run of the client that the message is for.
+        /// Run of the limiter that the message is for.
         run: u64,
-        /// The renewed lease and the assignments.
+        /// The response to the renewal request; receiving it renews the lease.
         response: RenewResponse,
     },
     /// The voter that was asked to renew is not the leader.
     NotLeader {
-        /// Run of the client that the message is for.
+        /// Run of the limiter that the message is for.
         run: u64,
         /// Number of the renewal request.
         seq: u64,
         /// Name of the leader, if it is known.
         leader: Option<Name>,
     },
-    /// Two running processes use the client's name; neither may hold slots.
+    /// Two running processes use the limiter's name; neither may hold slots.
     DuplicateName {
-        /// Run of the client that the message is for.
+        /// Run of the limiter that the message is for.
         run: u64,
     },
     /// The limiter's assignments changed; it should renew now.
     AssignmentsChanged {
-        /// Run of the client that the message is for.
+        /// Run of the limiter that the message is for.
         run: u64,
     },
 }
--- a/crates/gateway/voter-storage/src/error.rs
+++ b/crates/gateway/voter-storage/src/error.rs
@@ -69,12 +69,12 @@
         expected: FileOwner,
     },
     /// A log entry is stored under the index of another entry.
-    #[error("log entry {entry} is stored under index {index}; move the file away")]
+    #[error("log entry {recorded_index} is stored under index {stored_index}; move the file away")]
     MisplacedEntry {
         /// Index that the entry records.
-        entry: u64,
+        recorded_index: u64,
         /// Index under which the entry is stored.
-        index: u64,
+        stored_index: u64,
     },
 }
 
--- a/crates/gateway/voter-storage/src/storage.rs
+++ b/crates/gateway/voter-storage/src/storage.rs
@@ -87,8 +87,8 @@
         let entry: Entry = decode(bytes.value(), "a log entry")?;
         if entry.index != index.value() {
             return Err(VoterStorageError::MisplacedEntry {
-                entry: entry.index,
-                index: index.value(),
+                recorded_index: entry.index,
+                stored_index: index.value(),
             });
         }
         entries.push(entry);
--- a/crates/serving/proxy/src/request_body.rs
+++ b/crates/serving/proxy/src/request_body.rs
@@ -50,9 +50,9 @@
         if buffer.len + bytes.len() > max_bytes {
             return Err(Rejection::BodyTooLarge);
         }
-        let additional_bytes = (buffer.len + bytes.len()).saturating_sub(buffer.reserved);
+        let additional_bytes = (buffer.len + bytes.len()).saturating_sub(buffer.reserved_bytes);
         memory.grow(additional_bytes)?;
-        buffer.reserved += additional_bytes;
+        buffer.reserved_bytes += additional_bytes;
         buffer.push(bytes);
     }
 }
@@ -62,16 +62,17 @@
     first: Bytes,
     rest: BytesMut,
     len: usize,
-    reserved: usize,
+    /// Bytes reserved for this body in its [`MemoryReservation`].
+    reserved_bytes: usize,
 }
 
 impl BodyBuffer {
-    fn new(reserved: usize) -> BodyBuffer {
+    fn new(reserved_bytes: usize) -> BodyBuffer {
         BodyBuffer {
             first: Bytes::new(),
             rest: BytesMut::new(),
             len: 0,
-            reserved,
+            reserved_bytes,
         }
     }
 
@@ -83,7 +84,7 @@
             return;
         }
         if self.rest.is_empty() {
-            self.rest.reserve(self.reserved.max(self.len));
+            self.rest.reserve(self.reserved_bytes.max(self.len));
             self.rest
                 .extend_from_slice(&std::mem::take(&mut self.first));
         }
@@ -108,7 +109,7 @@
     Partial,
 }
 
-/// Reads and discards the body of a request that was rejected by its head.
+/// Reads and discards the body of a request that was rejected because of its head, before the body was read.
 pub(crate) async fn discard_body(mut body: Incoming) -> DiscardResult {
     if body.is_end_stream() {
         return DiscardResult::Complete;
--- a/crates/serving/storage/tests/compatibility/core.rs
+++ b/crates/serving/storage/tests/compatibility/core.rs
@@ -1,4 +1,5 @@
-//! Compatibility of core members' files.
+//! Tests that the files of core members are compatible with those of an earlier revision of this package, which are
+//! kept as fixtures: the same writes give the same bytes, and an old file opens with all its contents.
 
 use crate::dump::{dump, format_value};
 use dunespur_budget::{CounterChange, CounterReply, CounterRequest, LimiterId};
@@ -121,7 +122,7 @@
 
 /// Dumps all rows. The disk number is masked, as it is random.
 fn records(path: &Path) -> String {
-    let database = Database::open(path).expect("the library opens it");
+    let database = Database::open(path).expect("redb opens the core member's file");
     let values = dump(&database, VALUES, |key, value| match key {
         "disk" => (key.to_owned(), "drawn at random".to_owned()),
         _ => (key.to_owned(), format_value(value)),
@@ -140,7 +141,8 @@
     let folder = TemporaryFolder::new("storage-core-records");
     let path = folder.file("core.redb");
     let OpenedDisk { disk, .. } = CoreDisk::open(&path).expect("the file is created");
-    // The commit of the snapshot removes the entries that it covers, so the dump before it is compared as well.
+    // Writing the snapshot removes the entries that the snapshot covers, so the file is also dumped and compared
+    // before that write.
     let (snapshot, others) = writes_of_each_kind()
         .split_last()
         .map(|(last, rest)| (last.clone(), rest.to_vec()))
@@ -267,7 +269,7 @@
         proposal_number: proposal_number(21, 2, 22),
         proposal: view(8),
     };
-    let log = |entries: Vec<Entry>| {
+    let entry_writes = |entries: Vec<Entry>| {
         entries
             .into_iter()
             .map(|entry| Write::Entry { entry })
@@ -278,7 +280,7 @@
             Write::InstallView { decided: view(7) },
             Write::Synced { view: 6 },
         ],
-        log(entries(1, &before)),
+        entry_writes(entries(1, &before)),
         vec![Write::Snapshot { snapshot }],
         vec![
             Write::Promise {
@@ -286,7 +288,7 @@
             },
             Write::Accept { accepted },
         ],
-        log(entries(index + 1, &operations_after_snapshot())),
+        entry_writes(entries(index + 1, &operations_after_snapshot())),
     ]
 }
 
--- a/crates/testing/emulator/src/judge/mod.rs
+++ b/crates/testing/emulator/src/judge/mod.rs
@@ -6,7 +6,7 @@
 mod denied;
 mod drain;
 mod indexed_record;
-mod planned;
+mod planned_shutdown;
 mod programs;
 mod rule;
 mod runs;
@@ -30,7 +30,7 @@
     programs::judge(&indexed_record, settings, &mut violations);
     drain::judge(&indexed_record, settings, &mut violations);
     config::judge(&indexed_record, settings, &mut violations);
-    planned::judge(&indexed_record, settings, &mut violations);
+    planned_shutdown::judge(&indexed_record, settings, &mut violations);
     denied::judge(&indexed_record, &mut violations);
     violations
 }
--- a/crates/testing/emulator/src/judge/planned.rs
+++ b/crates/testing/emulator/src/judge/planned_shutdown.rs
@@ -1,4 +1,5 @@
-//! LOST requests of planned work: a machine that shuts down closes the connection of a request that it has read.
+//! Rule `Lost` for planned shutdowns: a machine that was sent SIGTERM must not close a connection on which it has read
+//! a request until the response is complete.
 
 use super::indexed_record::IndexedRecord;
 use super::rule::{Rule, Violation};
@@ -10,11 +11,13 @@
 const GRACE_MS: u64 = 8_000;
 /// A request that ends within this time after the grace period still counts as affected by the shutdown.
 const SHUTDOWN_MARGIN_MS: u64 = 1_000;
-/// The machine may not have read a request whose connection was closed within this time after sending.
+/// If the connection closes within this time after the request was sent, it is possible that the machine has not read
+/// the request.
 const UNREAD_LIMIT_MS: u64 = 200;
 
 /// A machine that was sent SIGTERM, and when.
 struct TerminatedMachine {
+    /// The machine's address for clients, set by `listen.front`.
     front: SocketAddr,
     at_ms: u64,
 }
@@ -47,7 +50,7 @@
         {
             let elapsed_ms = attempt.ended_ms.saturating_sub(machine.at_ms);
             let detail = format!(
-                "{} {} was closed {elapsed_ms} ms after SIGTERM",
+                "request {} {}: the connection was closed {elapsed_ms} ms after SIGTERM",
                 attempt.request, attempt.target
             );
             violations.push(Violation {
--- a/crates/testing/emulator/src/system/error.rs
+++ b/crates/testing/emulator/src/system/error.rs
@@ -44,9 +44,9 @@
         /// Name of the machine.
         machine: String,
     },
-    /// The command that sends signals could not be run.
+    /// The `kill` command could not be run.
     #[error("could not run kill -{signal} {process}")]
-    SignalCommand {
+    KillNotRun {
         /// Name of the signal.
         signal: &'static str,
         /// Id of the process.
@@ -54,9 +54,9 @@
         /// The cause.
         source: io::Error,
     },
-    /// A signal could not be sent.
+    /// The `kill` command ended with an error status.
     #[error("kill -{signal} {process} failed: {status}")]
-    Signal {
+    KillFailed {
         /// Name of the signal.
         signal: &'static str,
         /// Id of the process.
@@ -74,7 +74,7 @@
     },
     /// A process ended before it was ready.
     #[error("{machine}: its process ended before it was ready: {status}\n{log}")]
-    Ended {
+    EndedBeforeReady {
         /// Name of the machine.
         machine: String,
         /// Exit status of the process.
--- a/crates/testing/emulator/src/system/machine.rs
+++ b/crates/testing/emulator/src/system/machine.rs
@@ -315,7 +315,7 @@
             .arg(format!("-{signal}"))
             .arg(process.to_string())
             .status()
-            .map_err(|source| SystemError::SignalCommand {
+            .map_err(|source| SystemError::KillNotRun {
                 signal,
                 process,
                 source,
@@ -323,7 +323,7 @@
         if status.success() {
             return Ok(());
         }
-        Err(SystemError::Signal {
+        Err(SystemError::KillFailed {
             signal,
             process,
             status,
--- a/crates/testing/emulator/src/system/mod.rs
+++ b/crates/testing/emulator/src/system/mod.rs
@@ -223,7 +223,7 @@
             }
             let machine = self.machines[index].name().to_owned();
             if let Some(status) = self.machines[index].ended() {
-                return Err(SystemError::Ended {
+                return Err(SystemError::EndedBeforeReady {
                     machine,
                     status,
                     log: self.machines[index].log_tail(),
--- a/crates/testing/emulator/src/system/plan.rs
+++ b/crates/testing/emulator/src/system/plan.rs
@@ -20,9 +20,9 @@
 pub enum Role {
     /// A gateway without a disk.
     Gateway,
-    /// A gateway with a disk, which is a member of the core.
+    /// A gateway that has a disk and is a member of the core, the group of gateways that replicates the control state.
     Core,
-    /// A store, which holds replicas of turns.
+    /// A store, which holds replicas of turns (see the crate `dunespur_turn_replication`).
     Store,
 }
 
