--- a/crates/serving/control-state/src/fenced_generations.rs
+++ b/crates/serving/control-state/src/fenced_generations.rs
@@ -14,6 +14,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct FencedGenerations {
     /// The newest fencing token, which is also the number of recorded rejections.
+    #[serde(rename = "rejections")]
     last_token: u64,
     /// The fencing token of each generation on which a request was rejected.
     tokens: BTreeMap<u64, u64>,
