--- a/crates/gateway/decisions/src/limiter/endpoints.rs
+++ b/crates/gateway/decisions/src/limiter/endpoints.rs
@@ -57,7 +57,7 @@
     }
 
     /// Schedules the renewal of a lost watch of the endpoints, if endpoints are reported on request. The pause is the
-    /// latency target, but at most [`MAX_WATCH_PAUSE`], so that a long latency target does not delay the renewal;
+    /// latency target, but at most `MAX_WATCH_PAUSE`, so that a long latency target does not delay the renewal;
     /// jitter is added.
     pub fn watch_lost(&mut self) {
         let pause = self.latency_target.min(MAX_WATCH_PAUSE) * (1.0 + self.rng.f64());
