--- a/crates/serving/routing/src/least_loaded.rs
+++ b/crates/serving/routing/src/least_loaded.rs
@@ -34,6 +34,7 @@
 }
 
 /// Relative cost of a request on an endpoint, from its occupancy, zone, slowness and stall. Lower is better.
+/// An idle endpoint of the own zone with average speed costs 1 plus the share of one slot.
 fn score(endpoint: &Endpoint, response_ms: f64, now: Millis) -> f64 {
     let occupancy = (endpoint.load.smoothed_in_flight(now) + 1.0) / endpoint.offered_slots(now);
     let excess = (occupancy - 1.0).max(0.0);
